--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -23,6 +23,7 @@
 	seedsFlag = flag.Int("soak-seeds", 0, "number of seeds to play from soak-seed on")
 	vmsFlag   = flag.Int("soak-vms", 4, "number of VMs")
 	forFlag   = flag.Duration("soak-for", 12*time.Second, "how long faults strike")
+	otherFlag = flag.String("soak-other-daemon", "", "mallowlinkd of another build for TestVMsOfTwoBuilds; empty for this one")
 )
 
 var binary string
--- a/test/soak/world_test.go
+++ b/test/soak/world_test.go
@@ -109,6 +109,7 @@
 	name, domain              string
 	callers, readiness, admin string
 	settings                  string
+	binary                    string
 	store, peer               *proxy
 	log                       *logFile
 	mu                        sync.Mutex
@@ -337,7 +338,7 @@
 	address := func(n int) string { return fmt.Sprintf("127.0.0.1:%d", first+n) }
 	v := &vm{
 		name: fmt.Sprintf("vm-%d", i+1), domain: domains[i%len(domains)],
-		callers: address(0), readiness: address(1), admin: address(3),
+		callers: address(0), readiness: address(1), admin: address(3), binary: w.binary,
 		settings: filepath.Join(w.dir, fmt.Sprintf("vm-%d.conf", i+1)),
 		store:    newProxy(w.t, w.storeURL), peer: newProxy(w.t, address(2)),
 		log: newLogFile(w.t, filepath.Join(w.dir, fmt.Sprintf("vm-%d.log", i+1))),
@@ -380,7 +381,7 @@
 
 // start starts the VM's process.
 func (w *world) start(v *vm) {
-	cmd := exec.Command(w.binary, "gateway", "--peer-address", v.peer.address())
+	cmd := exec.Command(v.binary, "gateway", "--peer-address", v.peer.address())
 	cmd.Env = append(os.Environ(), "MALLOWLINK_NODE_FILE="+v.settings, "GOMAXPROCS=2")
 	cmd.Stdout, cmd.Stderr = v.log, v.log
 	if err := cmd.Start(); err != nil {
