--- a/pkg/orders/message.go
+++ b/pkg/orders/message.go
@@ -14,9 +14,9 @@
 
 // Methods of the service.
 const (
-	AcquireMethod = ServiceName + ".Acquire"
-	ReportMethod  = ServiceName + ".Report"
-	tellMethod    = ServiceName + ".Tell"
+	AcquireMethod  = ServiceName + ".Acquire"
+	ReportMethod   = ServiceName + ".Report"
+	handoverMethod = ServiceName + ".Tell"
 )
 
 // Status is the answer to a request for a place.
@@ -107,17 +107,17 @@
 	Notices     []Notice
 }
 
-// TellArgs asks a VM that gave an engine its orders before what it knows of the engine.
-type TellArgs struct {
+// HandoverArgs asks a VM that gave an engine its orders before what it knows of the engine.
+type HandoverArgs struct {
 	Endpoint string
 	Started  int64
 }
 
-// TellReply is the answer.
-type TellReply struct {
+// HandoverReply is the answer.
+type HandoverReply struct {
 	// Known is false if the VM knows nothing of the engine.
 	Known  bool
-	Habits residency.Habits
+	Habits residency.Handover
 }
 
 // ReportReply is the answer.
--- a/pkg/orders/orders_test.go
+++ b/pkg/orders/orders_test.go
@@ -21,8 +21,8 @@
 	"github.com/mallowlink/mallowlink/pkg/upstream"
 )
 
-// given is an order as an engine has received it.
-type given struct {
+// receivedOrder is an order as an engine has received it.
+type receivedOrder struct {
 	at    time.Time
 	order engine.Order
 }
@@ -32,7 +32,7 @@
 	mu       sync.Mutex
 	accepted int64
 	loaded   map[string]time.Time
-	given    []given
+	received []receivedOrder
 	down     bool
 }
 
@@ -43,7 +43,7 @@
 	if f.down {
 		return 0, engine.ErrNotSent
 	}
-	f.given = append(f.given, given{time.Now(), o})
+	f.received = append(f.received, receivedOrder{time.Now(), o})
 	at, known := f.loaded[o.Adapter.Name]
 	if !o.Evict && known && time.Now().Before(at) {
 		return engine.Accepted, nil
@@ -78,49 +78,51 @@
 	return r, nil
 }
 
-func (f *fakeEngines) orders() []given {
+func (f *fakeEngines) receivedOrders() []receivedOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]given(nil), f.given...)
+	return append([]receivedOrder(nil), f.received...)
 }
 
-// rights is a Lessor whose rights a test gives and takes.
-type rights struct {
+// fakeLessor is a Lessor whose rights a test gives and takes.
+type fakeLessor struct {
 	mu   sync.Mutex
 	held bool
 }
 
-func (r *rights) set(held bool) {
+func (r *fakeLessor) set(held bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.held = held
 }
 
-func (r *rights) Held(name string) (lease.Grant, bool) {
+func (r *fakeLessor) Held(name string) (lease.Grant, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return lease.Grant{Name: name, Fencing: 7}, r.held
 }
 
-func (r *rights) HolderOf(string) (lease.Holder, bool) { return lease.Holder{}, false }
+func (r *fakeLessor) HolderOf(string) (lease.Holder, bool) { return lease.Holder{}, false }
 
-// nobody is a Caller that reaches no VM.
-type nobody struct{}
+// unreachablePeers is a Caller that reaches no VM.
+type unreachablePeers struct{}
 
-func (nobody) Call(context.Context, string, string, any, any) error { return peer.ErrUnreachable }
+func (unreachablePeers) Call(context.Context, string, string, any, any) error {
+	return peer.ErrUnreachable
+}
 
-// site is one service before one engine.
-type site struct {
+// fixture is one service before one engine.
+type fixture struct {
 	s       *Service
 	engines *fakeEngines
-	rights  *rights
+	lessor  *fakeLessor
 	id      roster.Incarnation
 	permit  uint64
 }
 
-const places = 3
+const adapterSlots = 3
 
-func runSite(t *testing.T, do func(s *site)) {
+func runWithFixture(t *testing.T, do func(s *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		r := roster.New()
@@ -128,15 +130,15 @@
 		r.Set(roster.NewView([]roster.Endpoint{{Incarnation: id, Group: "g", Address: "x:1"}}))
 		log := logrus.New()
 		log.SetLevel(logrus.PanicLevel)
-		x := &site{engines: &fakeEngines{loaded: map[string]time.Time{}}, rights: &rights{held: true}, id: id}
+		x := &fixture{engines: &fakeEngines{loaded: map[string]time.Time{}}, lessor: &fakeLessor{held: true}, id: id}
 		x.s = NewService(ctx, Config{
-			Self: "vm1", Leases: x.rights, Engines: x.engines, Roster: r,
+			Self: "vm1", Leases: x.lessor, Engines: x.engines, Roster: r,
 			Spec: func(string) (Spec, bool) {
-				return Spec{Places: places, Slots: 8, CacheTokens: 10_000, Model: "base", ModelLoad: time.Second}, true
+				return Spec{Places: adapterSlots, Slots: 8, CacheTokens: 10_000, Model: "base", ModelLoad: time.Second}, true
 			},
 			Newest:  func(residency.Key) int { return 0 },
 			Address: func(string) (string, bool) { return "", false },
-			Caller:  nobody{}, Turns: 3 * time.Second, Started: time.Now(),
+			Caller:  unreachablePeers{}, Turns: 3 * time.Second, Started: time.Now(),
 			Metrics: metrics.NewRegistry(), Log: log,
 		})
 		do(x)
@@ -145,42 +147,42 @@
 	})
 }
 
-func (x *site) gain(recent ...string) {
-	x.s.LeaseGained(lease.Grant{Name: LeaseOf(x.id.ID), Fencing: 7, Recent: recent})
+func (f *fixture) gainLease(recent ...string) {
+	f.s.LeaseGained(lease.Grant{Name: LeaseOf(f.id.ID), Fencing: 7, Recent: recent})
 }
 
-func (x *site) args(adapter string) *AcquireArgs {
-	x.permit++
+func (f *fixture) newArgs(adapter string) *AcquireArgs {
+	f.permit++
 	return &AcquireArgs{
-		Caller: "vm2", Incarnation: "i", Permit: x.permit, Endpoint: x.id.ID, Started: x.id.Started,
+		Caller: "vm2", Incarnation: "i", Permit: f.permit, Endpoint: f.id.ID, Started: f.id.Started,
 		Model: "base", Adapter: adapter, Tokens: 100, Left: time.Second, Life: 5 * time.Second,
 		Bound: time.Minute, LoadBound: time.Minute,
 	}
 }
 
-func (x *site) acquire(args *AcquireArgs) AcquireReply {
+func (f *fixture) acquire(args *AcquireArgs) AcquireReply {
 	var reply AcquireReply
 	for {
-		_ = x.s.Acquire(args, &reply)
+		_ = f.s.Acquire(args, &reply)
 		if reply.Status != Waiting {
 			return reply
 		}
 	}
 }
 
-func (x *site) end(permit uint64) {
-	_ = x.s.Report(&ReportArgs{Incarnation: "i", Notices: []Notice{{Permit: permit, Ended: true}}}, &ReportReply{})
+func (f *fixture) endPermit(permit uint64) {
+	_ = f.s.Report(&ReportArgs{Incarnation: "i", Notices: []Notice{{Permit: permit, Ended: true}}}, &ReportReply{})
 }
 
 // Requests for one adapter wait for one load together.
-func TestRequestsForOneAdapterShareALoad(t *testing.T) {
-	runSite(t, func(x *site) {
-		x.gain()
+func TestRequestsForOneAdapterShareOneLoad(t *testing.T) {
+	runWithFixture(t, func(x *fixture) {
+		x.gainLease()
 		time.Sleep(time.Second)
 		begun := time.Now()
 		var wait sync.WaitGroup
 		for range 20 {
-			args := x.args("a")
+			args := x.newArgs("a")
 			wait.Go(func() {
 				require.Equal(t, Granted, x.acquire(args).Status)
 				require.Less(t, time.Since(begun), 300*time.Millisecond)
@@ -188,7 +190,7 @@
 		}
 		wait.Wait()
 		loads := 0
-		for _, g := range x.engines.orders() {
+		for _, g := range x.engines.receivedOrders() {
 			if g.order.Expected == 0 && !g.order.Evict {
 				loads++
 			}
@@ -200,22 +202,22 @@
 }
 
 // An adapter in use is not evicted; it is once its requests have ended.
-func TestAdaptersInUseStay(t *testing.T) {
-	runSite(t, func(x *site) {
-		x.gain()
+func TestAdapterInUseIsNotEvicted(t *testing.T) {
+	runWithFixture(t, func(x *fixture) {
+		x.gainLease()
 		time.Sleep(time.Second)
 		var permits []uint64
-		for i := range places {
-			args := x.args(fmt.Sprintf("a%d", i))
+		for i := range adapterSlots {
+			args := x.newArgs(fmt.Sprintf("a%d", i))
 			require.Equal(t, Granted, x.acquire(args).Status)
 			permits = append(permits, args.Permit)
 		}
-		args := x.args("new")
+		args := x.newArgs("new")
 		var reply AcquireReply
 		require.NoError(t, x.s.Acquire(args, &reply))
 		require.Equal(t, Waiting, reply.Status)
-		require.Len(t, x.engines.loaded, places)
-		x.end(permits[1])
+		require.Len(t, x.engines.loaded, adapterSlots)
+		x.endPermit(permits[1])
 		require.Equal(t, Granted, x.acquire(args).Status)
 		require.NotContains(t, x.engines.loaded, "a1")
 		require.Contains(t, x.engines.loaded, "a0")
@@ -223,28 +225,28 @@
 }
 
 // Permits whose ends are never told are freed by their time.
-func TestLostPermitsAreFreed(t *testing.T) {
-	runSite(t, func(x *site) {
-		x.gain()
+func TestUnreportedPermitsExpire(t *testing.T) {
+	runWithFixture(t, func(x *fixture) {
+		x.gainLease()
 		time.Sleep(time.Second)
-		for i := range places {
-			require.Equal(t, Granted, x.acquire(x.args(fmt.Sprintf("a%d", i))).Status)
+		for i := range adapterSlots {
+			require.Equal(t, Granted, x.acquire(x.newArgs(fmt.Sprintf("a%d", i))).Status)
 		}
 		time.Sleep(7 * time.Second)
-		require.Equal(t, Granted, x.acquire(x.args("new")).Status)
+		require.Equal(t, Granted, x.acquire(x.newArgs("new")).Status)
 	})
 }
 
 // A permit that ended before it was granted takes no place.
-func TestACancelledPermitIsNotGranted(t *testing.T) {
-	runSite(t, func(x *site) {
-		x.gain()
+func TestPermitEndedWhileWaitingIsNotGranted(t *testing.T) {
+	runWithFixture(t, func(x *fixture) {
+		x.gainLease()
 		time.Sleep(time.Second)
-		args := x.args("a")
+		args := x.newArgs("a")
 		var reply AcquireReply
 		require.NoError(t, x.s.Acquire(args, &reply))
 		require.Equal(t, Waiting, reply.Status)
-		x.end(args.Permit)
+		x.endPermit(args.Permit)
 		time.Sleep(200 * time.Millisecond)
 		require.NoError(t, x.s.Acquire(args, &reply))
 		require.Equal(t, Waiting, reply.Status)
@@ -252,134 +254,134 @@
 }
 
 // Without its lease a VM gives no orders and grants nothing, also between the check and the events.
-func TestNothingWithoutTheLease(t *testing.T) {
-	runSite(t, func(x *site) {
-		x.gain()
+func TestNoOrdersWithoutLease(t *testing.T) {
+	runWithFixture(t, func(x *fixture) {
+		x.gainLease()
 		time.Sleep(time.Second)
-		require.Equal(t, Granted, x.acquire(x.args("a")).Status)
-		x.rights.set(false)
-		require.Equal(t, NotOwner, x.acquire(x.args("b")).Status)
-		given := len(x.engines.orders())
+		require.Equal(t, Granted, x.acquire(x.newArgs("a")).Status)
+		x.lessor.set(false)
+		require.Equal(t, NotOwner, x.acquire(x.newArgs("b")).Status)
+		given := len(x.engines.receivedOrders())
 		time.Sleep(5 * time.Second)
-		require.Len(t, x.engines.orders(), given)
+		require.Len(t, x.engines.receivedOrders(), given)
 		x.s.LeaseLost(LeaseOf(x.id.ID))
-		x.rights.set(true)
-		require.Equal(t, NotOwner, x.acquire(x.args("b")).Status)
+		x.lessor.set(true)
+		require.Equal(t, NotOwner, x.acquire(x.newArgs("b")).Status)
 	})
 }
 
 // A VM that gets a lease back from another one keeps its orders apart from its earlier ones.
-func TestTurnsAreApart(t *testing.T) {
-	runSite(t, func(x *site) {
-		x.gain()
+func TestOrdersWaitAfterLeaseReturns(t *testing.T) {
+	runWithFixture(t, func(x *fixture) {
+		x.gainLease()
 		time.Sleep(10 * time.Second)
-		require.Equal(t, Granted, x.acquire(x.args("a")).Status)
+		require.Equal(t, Granted, x.acquire(x.newArgs("a")).Status)
 		x.s.LeaseLost(LeaseOf(x.id.ID))
 		lost := time.Now()
 		time.Sleep(500 * time.Millisecond)
-		before := len(x.engines.orders())
-		x.gain("vm2", "vm1")
-		require.Equal(t, Granted, x.acquire(x.args("b")).Status)
-		require.GreaterOrEqual(t, x.engines.orders()[before].at.Sub(lost), 3*time.Second)
+		before := len(x.engines.receivedOrders())
+		x.gainLease("vm2", "vm1")
+		require.Equal(t, Granted, x.acquire(x.newArgs("b")).Status)
+		require.GreaterOrEqual(t, x.engines.receivedOrders()[before].at.Sub(lost), 3*time.Second)
 		// Nobody came between: no need to wait.
 		x.s.LeaseLost(LeaseOf(x.id.ID))
-		x.gain("vm1", "vm2")
+		x.gainLease("vm1", "vm2")
 		begun := time.Now()
-		require.Equal(t, Granted, x.acquire(x.args("c")).Status)
+		require.Equal(t, Granted, x.acquire(x.newArgs("c")).Status)
 		require.Less(t, time.Since(begun), time.Second)
 	})
 }
 
 // A restarted process does not know when its VM gave orders: it waits from its own start on.
-func TestTurnsAreApartAcrossARestart(t *testing.T) {
-	runSite(t, func(x *site) {
+func TestOrdersWaitAfterRestart(t *testing.T) {
+	runWithFixture(t, func(x *fixture) {
 		started := time.Now()
-		x.gain("vm2", "vm1")
-		require.Equal(t, Granted, x.acquire(x.args("a")).Status)
-		require.GreaterOrEqual(t, x.engines.orders()[0].at.Sub(started), 3*time.Second)
+		x.gainLease("vm2", "vm1")
+		require.Equal(t, Granted, x.acquire(x.newArgs("a")).Status)
+		require.GreaterOrEqual(t, x.engines.receivedOrders()[0].at.Sub(started), 3*time.Second)
 	})
 }
 
 // Requests for an engine that cannot be reached are turned away at once.
-func TestAnEngineThatIsDown(t *testing.T) {
-	runSite(t, func(x *site) {
-		x.gain()
+func TestUnreachableEngineRejectsAtOnce(t *testing.T) {
+	runWithFixture(t, func(x *fixture) {
+		x.gainLease()
 		time.Sleep(time.Second)
 		x.engines.mu.Lock()
 		x.engines.down = true
 		x.engines.mu.Unlock()
-		require.Equal(t, Down, x.acquire(x.args("a")).Status)
+		require.Equal(t, Down, x.acquire(x.newArgs("a")).Status)
 		begun := time.Now()
-		require.Equal(t, Down, x.acquire(x.args("b")).Status)
+		require.Equal(t, Down, x.acquire(x.newArgs("b")).Status)
 		require.Less(t, time.Since(begun), 10*time.Millisecond)
 		x.engines.mu.Lock()
 		x.engines.down = false
 		x.engines.mu.Unlock()
 		time.Sleep(2 * time.Second)
-		require.Equal(t, Granted, x.acquire(x.args("c")).Status)
+		require.Equal(t, Granted, x.acquire(x.newArgs("c")).Status)
 	})
 }
 
 // An engine with much to read, or whose adapters all have to be waited for, says how long a request would
 // wait instead of keeping it.
-func TestBoundsBringOffers(t *testing.T) {
-	runSite(t, func(x *site) {
-		x.gain()
+func TestWaitsOverTheBoundsAreOffered(t *testing.T) {
+	runWithFixture(t, func(x *fixture) {
+		x.gainLease()
 		time.Sleep(time.Second)
-		big := x.args("a")
+		big := x.newArgs("a")
 		big.Tokens = 20_000
 		require.Equal(t, Granted, x.acquire(big).Status)
-		args := x.args("a")
+		args := x.newArgs("a")
 		args.Bound = 100 * time.Millisecond
 		reply := x.acquire(args)
 		require.Equal(t, Offered, reply.Status)
 		require.Greater(t, reply.Estimate, 400*time.Millisecond)
 		require.Zero(t, reply.Delay)
-		args = x.args("cold")
+		args = x.newArgs("cold")
 		args.LoadBound = 100 * time.Millisecond
 		reply = x.acquire(args)
 		require.Equal(t, Offered, reply.Status)
 		require.Greater(t, reply.Delay, 200*time.Millisecond)
 		_ = x.s.Report(&ReportArgs{Incarnation: "i", Notices: []Notice{{Permit: big.Permit, Started: true, First: time.Second}}}, &ReportReply{})
-		args = x.args("a")
+		args = x.newArgs("a")
 		args.Bound = 100 * time.Millisecond
 		require.Equal(t, Granted, x.acquire(args).Status, "the prompt has been read")
 	})
 }
 
-func TestPrefetchLoadsWhenNothingElseIsWanted(t *testing.T) {
-	runSite(t, func(x *site) {
-		x.gain()
+func TestPrefetchLoadsWhenNoRequestWaits(t *testing.T) {
+	runWithFixture(t, func(x *fixture) {
+		x.gainLease()
 		time.Sleep(time.Second)
-		args := x.args("a")
+		args := x.newArgs("a")
 		args.Prefetch = true
 		require.Equal(t, Offered, x.acquire(args).Status)
 		time.Sleep(400 * time.Millisecond)
 		begun := time.Now()
-		require.Equal(t, Granted, x.acquire(x.args("a")).Status)
+		require.Equal(t, Granted, x.acquire(x.newArgs("a")).Status)
 		require.Less(t, time.Since(begun), 20*time.Millisecond)
 	})
 }
 
 // The next holder learns from this one how adapters were used.
-func TestTell(t *testing.T) {
-	runSite(t, func(x *site) {
-		x.gain()
+func TestHandoverToNextOwner(t *testing.T) {
+	runWithFixture(t, func(x *fixture) {
+		x.gainLease()
 		time.Sleep(time.Second)
-		require.Equal(t, Granted, x.acquire(x.args("a")).Status)
+		require.Equal(t, Granted, x.acquire(x.newArgs("a")).Status)
 		x.s.LeaseLost(LeaseOf(x.id.ID))
-		var reply TellReply
-		require.NoError(t, x.s.Tell(&TellArgs{Endpoint: x.id.ID, Started: x.id.Started}, &reply))
+		var reply HandoverReply
+		require.NoError(t, x.s.Tell(&HandoverArgs{Endpoint: x.id.ID, Started: x.id.Started}, &reply))
 		require.True(t, reply.Known)
 		require.Len(t, reply.Habits.Uses, 1)
-		time.Sleep(2 * retireFor)
-		reply = TellReply{}
-		require.NoError(t, x.s.Tell(&TellArgs{Endpoint: x.id.ID, Started: x.id.Started}, &reply))
+		time.Sleep(2 * retirementPeriod)
+		reply = HandoverReply{}
+		require.NoError(t, x.s.Tell(&HandoverArgs{Endpoint: x.id.ID, Started: x.id.Started}, &reply))
 		require.False(t, reply.Known)
 	})
 }
 
-func TestLeasesCoverAllEngines(t *testing.T) {
+func TestEveryEngineHasALease(t *testing.T) {
 	names := map[string]bool{}
 	for _, name := range LeaseNames() {
 		names[name] = true
@@ -390,32 +392,32 @@
 	}
 }
 
-func TestLoadLearnsTheTimeOfATokens(t *testing.T) {
-	l := newLoad(64, 1000)
+func TestEngineLoadMeasuresTokenTime(t *testing.T) {
+	l := newEngineLoad(64, 1000)
 	for i := range 200 {
 		key := permitKey{"i", uint64(i)}
 		l.add(key, "a", 1000, time.Time{})
-		l.start(key, baseTime+100*time.Millisecond)
-		l.end(key)
+		l.markStarted(key, baseFirstTokenTime+100*time.Millisecond)
+		l.remove(key)
 	}
-	require.InDelta(t, 100*time.Microsecond, l.perTok, float64(2*time.Microsecond))
-	require.InDelta(t, baseTime+100*time.Millisecond, l.estimate(1000), float64(3*time.Millisecond))
-	require.Zero(t, l.pending)
+	require.InDelta(t, 100*time.Microsecond, l.tokenTime, float64(2*time.Microsecond))
+	require.InDelta(t, baseFirstTokenTime+100*time.Millisecond, l.estimate(1000), float64(3*time.Millisecond))
+	require.Zero(t, l.unread)
 	require.Zero(t, l.running)
 }
 
-func TestPromptCacheKnowsWhatIsKept(t *testing.T) {
+func TestPromptCacheUnreadTokens(t *testing.T) {
 	c := newPromptCache(1000)
 	prompt := []dialect.PromptPart{{ID: "a", Tokens: 300}, {ID: "b", Tokens: 200}}
 	require.Equal(t, 700, c.unread("x", prompt, 700))
-	c.note("x", prompt)
+	c.add("x", prompt)
 	require.Equal(t, 200, c.unread("x", prompt, 700))
 	require.Equal(t, 700, c.unread("y", prompt, 700), "parts are kept for each adapter")
 	require.Equal(t, 400, c.unread("x", []dialect.PromptPart{{ID: "a", Tokens: 300}, {ID: "z", Tokens: 100}, {ID: "b", Tokens: 200}}, 700))
-	c.forget("x")
+	c.removeAdapter("x")
 	require.Equal(t, 700, c.unread("x", prompt, 700))
 	for i := range 50 {
-		c.note("x", []dialect.PromptPart{{ID: fmt.Sprint(i), Tokens: 100}})
-		require.LessOrEqual(t, c.used, 1000)
+		c.add("x", []dialect.PromptPart{{ID: fmt.Sprint(i), Tokens: 100}})
+		require.LessOrEqual(t, c.tokens, 1000)
 	}
 }
--- a/pkg/orders/service.go
+++ b/pkg/orders/service.go
@@ -94,10 +94,10 @@
 	workers map[roster.Incarnation]*worker
 	// leases maps the leases that this VM holds to when it may give orders under them.
 	leases map[string]time.Time
-	// lost maps the leases that this VM has held to when it lost them.
-	lost map[string]time.Time
-	// before maps the leases that this VM holds to the VM that held them before.
-	before map[string]string
+	// lostAt maps the leases that this VM has held to when it lost them.
+	lostAt map[string]time.Time
+	// previousOwners maps the leases that this VM holds to the VM that held them before.
+	previousOwners map[string]string
 	// retired are the workers of engines that another VM orders now.
 	retired map[roster.Incarnation]*worker
 }
@@ -107,44 +107,44 @@
 	return &Service{
 		cfg: cfg, ctx: ctx,
 		meters:  meters{orders: metrics.GetOrRegisterCounter("orders.given", cfg.Metrics)},
-		workers: map[roster.Incarnation]*worker{}, leases: map[string]time.Time{}, lost: map[string]time.Time{},
-		before: map[string]string{}, retired: map[roster.Incarnation]*worker{},
+		workers: map[roster.Incarnation]*worker{}, leases: map[string]time.Time{}, lostAt: map[string]time.Time{},
+		previousOwners: map[string]string{}, retired: map[roster.Incarnation]*worker{},
 	}
 }
 
 // LeaseGained implements lease.Listener.
 func (s *Service) LeaseGained(grant lease.Grant) {
 	s.mu.Lock()
-	s.leases[grant.Name] = s.turn(grant)
-	delete(s.before, grant.Name)
+	s.leases[grant.Name] = s.earliestOrder(grant)
+	delete(s.previousOwners, grant.Name)
 	if len(grant.Recent) > 0 && grant.Recent[0] != s.cfg.Self {
-		s.before[grant.Name] = grant.Recent[0]
+		s.previousOwners[grant.Name] = grant.Recent[0]
 	}
 	s.mu.Unlock()
 	s.Refresh()
 }
 
-// turnMargin is added to the time between turns, for orders that are under way.
-const turnMargin = 100 * time.Millisecond
+// orderGapMargin is added to the time between turns, for orders that are under way.
+const orderGapMargin = 100 * time.Millisecond
 
-// turn returns when this VM may give orders under a lease that it has gained. If it has held the lease
+// earliestOrder returns when this VM may give orders under a lease that it has gained. If it has held the lease
 // before and another VM in between, its orders must be apart. s.mu is held.
-func (s *Service) turn(grant lease.Grant) time.Time {
+func (s *Service) earliestOrder(grant lease.Grant) time.Time {
 	if len(grant.Recent) == 0 || grant.Recent[0] == s.cfg.Self || !slices.Contains(grant.Recent, s.cfg.Self) {
 		return time.Time{}
 	}
-	last, ok := s.lost[grant.Name]
+	last, ok := s.lostAt[grant.Name]
 	if !ok {
 		last = s.cfg.Started
 	}
-	return last.Add(s.cfg.Turns + turnMargin)
+	return last.Add(s.cfg.Turns + orderGapMargin)
 }
 
 // LeaseLost implements lease.Listener.
 func (s *Service) LeaseLost(name string) {
 	s.mu.Lock()
 	if _, held := s.leases[name]; held {
-		s.lost[name] = time.Now()
+		s.lostAt[name] = time.Now()
 	}
 	delete(s.leases, name)
 	s.mu.Unlock()
@@ -159,7 +159,7 @@
 	defer s.mu.Unlock()
 	for id, w := range s.workers {
 		e, ok := view.Endpoint(id.ID)
-		if !ok || e.Incarnation != id || !s.holds(w.lease) {
+		if !ok || e.Incarnation != id || !s.holdsLease(w.lease) {
 			w.cancel()
 			delete(s.workers, id)
 			s.retire(id, w)
@@ -167,28 +167,28 @@
 	}
 	for _, e := range view.All() {
 		name := LeaseOf(e.ID)
-		if s.workers[e.Incarnation] != nil || !s.holds(name) {
+		if s.workers[e.Incarnation] != nil || !s.holdsLease(name) {
 			continue
 		}
 		spec, ok := s.cfg.Spec(e.Group)
 		if !ok {
 			continue
 		}
-		s.begin(e, name, spec)
+		s.startWorker(e, name, spec)
 	}
 }
 
-// holds reports whether this VM holds the lease, by its last event. s.mu is held.
-func (s *Service) holds(name string) bool {
+// holdsLease reports whether this VM holds the lease, by its last event. s.mu is held.
+func (s *Service) holdsLease(name string) bool {
 	_, ok := s.leases[name]
 	return ok
 }
 
-// begin starts work for an engine. s.mu is held.
-func (s *Service) begin(e roster.Endpoint, leaseName string, spec Spec) {
+// startWorker starts work for an engine. s.mu is held.
+func (s *Service) startWorker(e roster.Endpoint, leaseName string, spec Spec) {
 	w := newWorker(s, e, leaseName, spec)
-	w.from = s.leases[leaseName]
-	w.before = s.before[leaseName]
+	w.ordersFrom = s.leases[leaseName]
+	w.previousOwner = s.previousOwners[leaseName]
 	ctx, cancel := context.WithCancel(s.ctx)
 	w.cancel = cancel
 	s.workers[e.Incarnation] = w
@@ -204,7 +204,7 @@
 
 // Acquire lets a request through to an engine.
 func (s *Service) Acquire(args *AcquireArgs, reply *AcquireReply) error {
-	s.take(args.Incarnation, args.Ended)
+	s.applyUpdates(args.Incarnation, args.Ended)
 	w := s.worker(roster.Incarnation{ID: args.Endpoint, Started: args.Started})
 	if w == nil {
 		*reply = AcquireReply{Status: NotOwner}
@@ -221,11 +221,11 @@
 
 // Report takes in notices.
 func (s *Service) Report(args *ReportArgs, _ *ReportReply) error {
-	s.take(args.Incarnation, args.Notices)
+	s.applyUpdates(args.Incarnation, args.Notices)
 	return nil
 }
 
-func (s *Service) take(incarnation string, notices []Notice) {
+func (s *Service) applyUpdates(incarnation string, notices []Notice) {
 	if len(notices) == 0 {
 		return
 	}
@@ -237,7 +237,7 @@
 	s.mu.Unlock()
 	now := time.Now()
 	for _, n := range notices {
-		known := slices.ContainsFunc(workers, func(w *worker) bool { return w.notice(incarnation, n) })
+		known := slices.ContainsFunc(workers, func(w *worker) bool { return w.applyUpdate(incarnation, n) })
 		if known || !n.Ended {
 			continue
 		}
@@ -247,13 +247,13 @@
 	}
 }
 
-// retireFor is how long what is known of an engine is kept for the VM that orders it next.
-const retireFor = 10 * time.Second
+// retirementPeriod is how long what is known of an engine is kept for the VM that orders it next.
+const retirementPeriod = 10 * time.Second
 
 // retire keeps the worker of an engine that this VM no longer orders. s.mu is held.
 func (s *Service) retire(id roster.Incarnation, w *worker) {
 	s.retired[id] = w
-	time.AfterFunc(retireFor, func() {
+	time.AfterFunc(retirementPeriod, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.retired[id] == w {
@@ -263,7 +263,7 @@
 }
 
 // Tell tells the VM that orders an engine now what this one knows of it.
-func (s *Service) Tell(args *TellArgs, reply *TellReply) error {
+func (s *Service) Tell(args *HandoverArgs, reply *HandoverReply) error {
 	s.mu.Lock()
 	id := roster.Incarnation{ID: args.Endpoint, Started: args.Started}
 	w := s.workers[id]
@@ -276,8 +276,8 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	reply.Known = w.books.Synced()
-	reply.Habits = w.books.Habits(time.Now())
+	reply.Known = w.planner.Synced()
+	reply.Habits = w.planner.Handover(time.Now())
 	return nil
 }
 
--- a/pkg/orders/worker.go
+++ b/pkg/orders/worker.go
@@ -16,52 +16,52 @@
 )
 
 const (
-	// orderTimes is the number of average round trips after which an order counts as lost. minTimeout and
+	// timeoutRoundTrips is the number of average round trips after which an order counts as lost. minTimeout and
 	// maxTimeout bound that time, which doubles with each loss in a row.
-	orderTimes = 6
-	minTimeout = 30 * time.Millisecond
-	maxTimeout = 250 * time.Millisecond
-	// firstTrip is the round trip assumed before one was seen; tripRate is the weight of a new one.
-	firstTrip = 5 * time.Millisecond
-	tripRate  = 0.1
-	// firstBackoff is how long an engine that cannot be reached is left alone; it doubles up to
+	timeoutRoundTrips = 6
+	minTimeout        = 30 * time.Millisecond
+	maxTimeout        = 250 * time.Millisecond
+	// initialRoundTrip is the round trip assumed before one was seen; roundTripWeight is the weight of a new one.
+	initialRoundTrip = 5 * time.Millisecond
+	roundTripWeight  = 0.1
+	// minBackoff is how long an engine that cannot be reached is left alone; it doubles up to
 	// maxBackoff.
-	firstBackoff = 100 * time.Millisecond
-	maxBackoff   = time.Second
-	// idleCheck is how often permits are looked through for those that must have ended.
-	idleCheck = time.Second
-	// leasePause is the time between two looks at a lease that does not hold.
-	leasePause = 50 * time.Millisecond
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = time.Second
+	// idleInterval is how often permits are looked through for those that must have ended.
+	idleInterval = time.Second
+	// leaseCheckInterval is the time between two looks at a lease that does not hold.
+	leaseCheckInterval = 50 * time.Millisecond
 )
 
 // worker gives one engine its orders while this VM holds its lease.
 type worker struct {
-	s        *Service
+	service  *Service
 	endpoint roster.Endpoint
 	model    string
 	lease    string
-	// before is the VM that gave the engine its orders before, empty if there was none.
-	before string
-	// from is when orders may be given.
-	from   time.Time
-	wake   chan struct{}
-	cancel context.CancelFunc
+	// previousOwner is the VM that gave the engine its orders before, empty if there was none.
+	previousOwner string
+	// ordersFrom is when orders may be given.
+	ordersFrom time.Time
+	wake       chan struct{}
+	cancel     context.CancelFunc
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 
-	books   *residency.Books
-	load    load
+	planner *residency.Planner
+	load    engineLoad
 	waiters map[residency.Key][]*waiter
 	// cancelled are permits that have ended before they were granted, with the time until when that is
 	// remembered.
 	cancelled map[permitKey]time.Time
 	// loggedAt is when the state of the engine was logged last.
-	loggedAt time.Time
-	trip     time.Duration
-	losses   int
-	// habits are what the VM before has told, until the books are synced.
-	habits *residency.Habits
+	loggedAt    time.Time
+	roundTrip   time.Duration
+	lossesInRow int
+	// handover are what the VM before has told, until the books are synced.
+	handover *residency.Handover
 	// backoff is how long the engine is left alone after the next failure to reach it; downUntil is when
 	// it is tried next, zero while it can be reached.
 	backoff   time.Duration
@@ -79,20 +79,20 @@
 
 func newWorker(s *Service, e roster.Endpoint, leaseName string, spec Spec) *worker {
 	return &worker{
-		s: s, endpoint: e, lease: leaseName, wake: make(chan struct{}, 1),
-		books: residency.New(residency.Config{
+		service: s, endpoint: e, lease: leaseName, wake: make(chan struct{}, 1),
+		planner: residency.New(residency.Config{
 			Model:      spec.Model,
 			ModelLoad:  spec.ModelLoad,
-			Places:     spec.Places,
+			Slots:      spec.Places,
 			MaxLoading: residency.DefaultMaxLoading,
 			WarmCount:  residency.DefaultWarmCount,
 			Newest:     s.cfg.Newest,
 		}),
-		load:      newLoad(spec.Slots, spec.CacheTokens),
+		load:      newEngineLoad(spec.Slots, spec.CacheTokens),
 		waiters:   map[residency.Key][]*waiter{},
 		cancelled: map[permitKey]time.Time{},
 		model:     spec.Model,
-		trip:      firstTrip,
+		roundTrip: initialRoundTrip,
 	}
 }
 
@@ -106,43 +106,43 @@
 
 // run gives orders until ctx ends.
 func (w *worker) run(ctx context.Context) {
-	w.askBefore(ctx)
+	w.fetchHandover(ctx)
 	for ctx.Err() == nil {
 		now := time.Now()
 		w.mu.Lock()
 		w.logState(now)
-		w.expire(now)
-		action, ok, due := w.next(now)
+		w.expirePermits(now)
+		action, ok, due := w.nextAction(now)
 		w.mu.Unlock()
 		if ok {
-			w.act(ctx, action)
+			w.execute(ctx, action)
 			continue
 		}
 		w.sleep(ctx, now, due)
 	}
 }
 
-// next returns the call to make now, or when to look again. While the engine cannot be reached nobody waits
+// nextAction returns the call to make now, or when to look again. While the engine cannot be reached nobody waits
 // for it, so it is tried by reading its report. w.mu is held.
-func (w *worker) next(now time.Time) (residency.Action, bool, time.Time) {
+func (w *worker) nextAction(now time.Time) (residency.Action, bool, time.Time) {
 	if !w.downUntil.IsZero() {
 		return residency.Action{Kind: residency.Report}, !now.Before(w.downUntil), w.downUntil
 	}
-	action, ok, due := w.books.Next(now)
-	if ok && action.Kind != residency.Report && now.Before(w.from) {
-		return action, false, w.from
+	action, ok, due := w.planner.Next(now)
+	if ok && action.Kind != residency.Report && now.Before(w.ordersFrom) {
+		return action, false, w.ordersFrom
 	}
 	return action, ok, due
 }
 
 // logState logs the state of the engine once in a while. w.mu is held.
 func (w *worker) logState(now time.Time) {
-	if now.Sub(w.loggedAt) < idleCheck {
+	if now.Sub(w.loggedAt) < idleInterval {
 		return
 	}
 	w.loggedAt = now
-	s := w.stateNow()
-	w.s.cfg.Log.WithFields(logrus.Fields{
+	s := w.stateLocked()
+	w.service.cfg.Log.WithFields(logrus.Fields{
 		"event": "engine_state", "endpoint": s.Endpoint, "held": s.Held, "in_use": s.InUse,
 		"loading": s.Loading, "wanted": s.Wanted, "load_time": s.LoadTime, "requests": s.Requests,
 		"unread": s.Unread, "token_time": s.TokenTime, "ready": s.Ready, "down": s.Down,
@@ -152,23 +152,23 @@
 func (w *worker) state() EngineState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.stateNow()
+	return w.stateLocked()
 }
 
-// stateNow returns what is known of the engine. w.mu is held.
-func (w *worker) stateNow() EngineState {
-	sum := w.books.Summary()
+// stateLocked returns what is known of the engine. w.mu is held.
+func (w *worker) stateLocked() EngineState {
+	sum := w.planner.Summary()
 	return EngineState{
 		Endpoint: w.endpoint.ID, Started: w.endpoint.Started, Lease: w.lease,
-		Ready: w.books.Ready(), Down: !w.downUntil.IsZero(),
+		Ready: w.planner.Ready(), Down: !w.downUntil.IsZero(),
 		Held: sum.Held, InUse: sum.InUse, Loading: sum.Loading, Wanted: sum.Wanted,
-		LoadTime: sum.Cold.Round(time.Millisecond).String(), TokenTime: w.load.perTok.String(),
-		Requests: w.load.running, Unread: w.load.pending,
+		LoadTime: sum.LoadTime.Round(time.Millisecond).String(), TokenTime: w.load.tokenTime.String(),
+		Requests: w.load.running, Unread: w.load.unread,
 	}
 }
 
 func (w *worker) sleep(ctx context.Context, now, due time.Time) {
-	wait := idleCheck
+	wait := idleInterval
 	if !due.IsZero() {
 		wait = min(wait, max(due.Sub(now), time.Millisecond))
 	}
@@ -181,93 +181,93 @@
 	}
 }
 
-// tellTimeout bounds the call to the VM that gave the orders before. It is lost with that VM; the engine
+// handoverTimeout bounds the call to the VM that gave the orders before. It is lost with that VM; the engine
 // waits for orders meanwhile.
-const tellTimeout = 60 * time.Millisecond
+const handoverTimeout = 60 * time.Millisecond
 
-// askBefore asks the VM that gave the engine its orders before how its adapters were used, so that those in
+// fetchHandover asks the VM that gave the engine its orders before how its adapters were used, so that those in
 // use are not evicted.
-func (w *worker) askBefore(ctx context.Context) {
-	if w.before == "" {
+func (w *worker) fetchHandover(ctx context.Context) {
+	if w.previousOwner == "" {
 		return
 	}
-	address, ok := w.s.cfg.Address(w.before)
+	address, ok := w.service.cfg.Address(w.previousOwner)
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	var reply TellReply
-	err := w.s.cfg.Caller.Call(ctx, address, tellMethod, &TellArgs{Endpoint: w.endpoint.ID, Started: w.endpoint.Started}, &reply)
-	w.s.cfg.Log.WithFields(logrus.Fields{
-		"event": "engine_told", "endpoint": w.endpoint.ID, "by": w.before, "known": reply.Known,
+	var reply HandoverReply
+	err := w.service.cfg.Caller.Call(ctx, address, handoverMethod, &HandoverArgs{Endpoint: w.endpoint.ID, Started: w.endpoint.Started}, &reply)
+	w.service.cfg.Log.WithFields(logrus.Fields{
+		"event": "engine_told", "endpoint": w.endpoint.ID, "by": w.previousOwner, "known": reply.Known,
 		"adapters": len(reply.Habits.Uses), "error": err,
 	}).Info()
 	if err == nil && reply.Known {
 		w.mu.Lock()
-		w.habits = &reply.Habits
+		w.handover = &reply.Habits
 		w.mu.Unlock()
 	}
 }
 
-// act makes one call to the engine. The lease is checked last before an order is given.
-func (w *worker) act(ctx context.Context, a residency.Action) {
+// execute makes one call to the engine. The lease is checked last before an order is given.
+func (w *worker) execute(ctx context.Context, a residency.Action) {
 	target := upstream.Target{ID: w.endpoint.ID, Started: w.endpoint.Started, Address: w.endpoint.Address}
 	ctx, cancel := context.WithTimeout(ctx, w.timeout())
 	defer cancel()
 	begun := time.Now()
 	if a.Kind == residency.Report {
-		report, err := w.s.cfg.Engines.Report(ctx, target)
-		w.tripped(begun, err)
-		w.reported(a, report, err)
+		report, err := w.service.cfg.Engines.Report(ctx, target)
+		w.recordCall(begun, err)
+		w.handleReport(a, report, err)
 		return
 	}
-	grant, held := w.s.cfg.Leases.Held(w.lease)
+	grant, held := w.service.cfg.Leases.Held(w.lease)
 	if !held {
-		time.Sleep(leasePause)
+		time.Sleep(leaseCheckInterval)
 		return
 	}
-	reply, err := w.s.cfg.Engines.Order(ctx, target, engine.Order{
-		Holder:   w.s.cfg.Self,
+	reply, err := w.service.cfg.Engines.Order(ctx, target, engine.Order{
+		Holder:   w.service.cfg.Self,
 		Fencing:  grant.Fencing,
 		Expected: a.Expected,
 		Adapter:  a.Adapter,
 		Evict:    a.Kind == residency.Evict || a.Kind == residency.ConfirmEvict,
 	})
-	w.tripped(begun, err)
-	w.replied(a, reply, err)
+	w.recordCall(begun, err)
+	w.handleReply(a, reply, err)
 }
 
 // timeout returns the time after which a call counts as lost.
 func (w *worker) timeout() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return min(max(orderTimes*w.trip, minTimeout)<<min(w.losses, 4), maxTimeout)
+	return min(max(timeoutRoundTrips*w.roundTrip, minTimeout)<<min(w.lossesInRow, 4), maxTimeout)
 }
 
-// tripped takes in the outcome of a call that began at begun.
-func (w *worker) tripped(begun time.Time, err error) {
+// recordCall takes in the outcome of a call that began at begun.
+func (w *worker) recordCall(begun time.Time, err error) {
 	now := time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
 	case err == nil:
-		w.trip += time.Duration(tripRate * float64(now.Sub(begun)-w.trip))
-		w.losses, w.backoff, w.downUntil = 0, 0, time.Time{}
+		w.roundTrip += time.Duration(roundTripWeight * float64(now.Sub(begun)-w.roundTrip))
+		w.lossesInRow, w.backoff, w.downUntil = 0, 0, time.Time{}
 	case errors.Is(err, engine.ErrNotSent):
-		w.backoff = min(max(2*w.backoff, firstBackoff), maxBackoff)
+		w.backoff = min(max(2*w.backoff, minBackoff), maxBackoff)
 		w.downUntil = now.Add(w.backoff)
-		w.turnAway()
+		w.rejectWaiters()
 	default:
-		w.losses++
+		w.lossesInRow++
 	}
 }
 
-// turnAway ends all waits, because the engine cannot be reached. w.mu is held.
-func (w *worker) turnAway() {
+// rejectWaiters ends all waits, because the engine cannot be reached. w.mu is held.
+func (w *worker) rejectWaiters() {
 	for key, list := range w.waiters {
 		for _, wt := range list {
-			w.books.Unwant(key)
+			w.planner.RemoveWaiter(key)
 			wt.done = true
 			wt.reply <- AcquireReply{Status: Down}
 		}
@@ -275,65 +275,65 @@
 	}
 }
 
-func (w *worker) reported(a residency.Action, report engine.Report, err error) {
+func (w *worker) handleReport(a residency.Action, report engine.Report, err error) {
 	now := time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil {
-		w.books.Lost(a, now)
-		w.s.cfg.Log.WithError(err).WithFields(logrus.Fields{"event": "report_failed", "endpoint": w.endpoint.ID}).Warn()
+		w.planner.HandleLost(a, now)
+		w.service.cfg.Log.WithError(err).WithFields(logrus.Fields{"event": "report_failed", "endpoint": w.endpoint.ID}).Warn()
 		return
 	}
-	w.books.Sync(report, now)
-	if w.habits != nil {
-		w.books.Adopt(*w.habits, now)
-		w.habits = nil
+	w.planner.Sync(report, now)
+	if w.handover != nil {
+		w.planner.ApplyHandover(*w.handover, now)
+		w.handover = nil
 	}
-	w.s.cfg.Log.WithFields(logrus.Fields{
+	w.service.cfg.Log.WithFields(logrus.Fields{
 		"event": "books_synced", "endpoint": w.endpoint.ID, "accepted": report.Accepted,
 		"held": len(report.Loaded), "pending": len(report.Pending),
 	}).Info()
-	w.serve(now)
+	w.serveWaiters(now)
 }
 
-func (w *worker) replied(a residency.Action, reply engine.Reply, err error) {
+func (w *worker) handleReply(a residency.Action, reply engine.Reply, err error) {
 	now := time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	entry := w.s.cfg.Log.WithFields(logrus.Fields{
+	entry := w.service.cfg.Log.WithFields(logrus.Fields{
 		"event": "order", "endpoint": w.endpoint.ID, "kind": a.Kind.String(),
 		"adapter": a.Adapter.Name, "expected": a.Expected,
 	})
-	w.s.meters.orders.Inc(1)
+	w.service.meters.orders.Inc(1)
 	switch {
 	case err == nil:
-		w.books.Took(a, reply, now)
-		if a.Kind != residency.Confirm || reply != engine.Accepted {
+		w.planner.HandleReply(a, reply, now)
+		if a.Kind != residency.ConfirmLoad || reply != engine.Accepted {
 			entry.WithField("reply", reply.String()).Debug()
 		}
 	case errors.Is(err, engine.ErrNotSent):
-		w.books.NotSent(a, now)
+		w.planner.HandleNotSent(a, now)
 		entry.WithError(err).Warn()
 	default:
-		w.books.Lost(a, now)
+		w.planner.HandleLost(a, now)
 		entry.WithError(err).Warn()
 	}
 	if a.Kind == residency.Evict && reply == engine.Holds {
-		w.load.cache.forget(a.Adapter.Name)
+		w.load.cache.removeAdapter(a.Adapter.Name)
 	}
-	w.serve(now)
+	w.serveWaiters(now)
 }
 
-// serve lets the requests through whose adapter can be used now. w.mu is held.
-func (w *worker) serve(now time.Time) {
+// serveWaiters lets the requests through whose adapter can be used now. w.mu is held.
+func (w *worker) serveWaiters(now time.Time) {
 	for key, list := range w.waiters {
-		if !w.books.Loaded(key) && (key.Name != "" || !w.books.Ready()) {
+		if !w.planner.Usable(key) && (key.Name != "" || !w.planner.Ready()) {
 			continue
 		}
 		delete(w.waiters, key)
 		for _, wt := range list {
-			w.books.Unwant(key)
-			reply, ok := w.letThrough(wt.args, key, now)
+			w.planner.RemoveWaiter(key)
+			reply, ok := w.grant(wt.args, key, now)
 			if !ok {
 				reply = AcquireReply{Status: Waiting}
 			}
@@ -351,22 +351,22 @@
 	w.cancelled[key] = now.Add(2 * MaxWait)
 }
 
-// expire drops the permits whose requests must have ended. w.mu is held.
-func (w *worker) expire(now time.Time) {
+// expirePermits drops the permits whose requests must have ended. w.mu is held.
+func (w *worker) expirePermits(now time.Time) {
 	for key, until := range w.cancelled {
 		if now.After(until) {
 			delete(w.cancelled, key)
 		}
 	}
 	for _, key := range w.load.expired(now) {
-		w.end(key, now)
+		w.endPermit(key, now)
 	}
 }
 
-// end ends a permit. w.mu is held.
-func (w *worker) end(key permitKey, now time.Time) {
-	if p := w.load.end(key); p != nil && p.adapter != "" {
-		w.books.Release(residency.Key{Model: w.model, Name: p.adapter}, now)
+// remove ends a permit. w.mu is held.
+func (w *worker) endPermit(key permitKey, now time.Time) {
+	if p := w.load.remove(key); p != nil && p.adapter != "" {
+		w.planner.Release(residency.Key{Model: w.model, Name: p.adapter}, now)
 	}
 }
 
@@ -384,19 +384,19 @@
 		w.mu.Unlock()
 		return AcquireReply{Status: Offered}
 	}
-	estimate, delay := w.estimate(args), w.delay(args, key, begun)
+	estimate, delay := w.estimate(args), w.adapterDelay(args, key, begun)
 	if estimate > args.Bound || delay > args.LoadBound {
-		own := w.load.own(w.unread(args))
+		own := w.load.idleEstimate(w.unread(args))
 		w.mu.Unlock()
 		return AcquireReply{Status: Offered, Estimate: estimate, Own: own, Delay: delay}
 	}
-	if reply, ok := w.letThrough(args, key, begun); ok {
+	if reply, ok := w.grant(args, key, begun); ok {
 		w.mu.Unlock()
 		return reply
 	}
 	wt := &waiter{args: args, begun: begun, reply: make(chan AcquireReply, 1)}
 	w.waiters[key] = append(w.waiters[key], wt)
-	w.books.Want(key, args.Urgency, begun)
+	w.planner.AddWaiter(key, args.Urgency, begun)
 	w.mu.Unlock()
 	w.signal()
 	return w.await(ctx, wt, key)
@@ -412,34 +412,34 @@
 	case <-ctx.Done():
 	case <-timer.C:
 	}
-	return w.leave(wt, key)
+	return w.abandonWait(wt, key)
 }
 
-// delay returns how long a request would have to wait for its adapter. w.mu is held.
-func (w *worker) delay(args *AcquireArgs, key residency.Key, now time.Time) time.Duration {
-	if args.Adapter == "" && w.books.Ready() {
+// adapterDelay returns how long a request would have to wait for its adapter. w.mu is held.
+func (w *worker) adapterDelay(args *AcquireArgs, key residency.Key, now time.Time) time.Duration {
+	if args.Adapter == "" && w.planner.Ready() {
 		return 0
 	}
-	return w.books.Delay(key, now)
+	return w.planner.Delay(key, now)
 }
 
 const (
 	// prefetchUrgency ranks loads that no request waits for behind all others.
 	prefetchUrgency = 100
-	// prefetchLife is how long such a load stays wanted.
-	prefetchLife = 500 * time.Millisecond
+	// prefetchLifetime is how long such a load stays wanted.
+	prefetchLifetime = 500 * time.Millisecond
 )
 
 // prefetch asks for an adapter that is likely to be needed, unless others are waited for. w.mu is held.
 func (w *worker) prefetch(key residency.Key, now time.Time) {
-	if !w.books.Ready() || w.books.Loaded(key) || len(w.waiters) > 0 {
+	if !w.planner.Ready() || w.planner.Usable(key) || len(w.waiters) > 0 {
 		return
 	}
-	w.books.Want(key, prefetchUrgency, now)
-	time.AfterFunc(prefetchLife, func() {
+	w.planner.AddWaiter(key, prefetchUrgency, now)
+	time.AfterFunc(prefetchLifetime, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.books.Unwant(key)
+		w.planner.RemoveWaiter(key)
 	})
 	w.signal()
 }
@@ -454,44 +454,44 @@
 	return w.load.cache.unread(args.Adapter, args.Prompt, args.Tokens)
 }
 
-// letThrough notes a permit if the adapter can be used now. w.mu is held.
-func (w *worker) letThrough(args *AcquireArgs, key residency.Key, now time.Time) (AcquireReply, bool) {
+// grant notes a permit if the adapter can be used now. w.mu is held.
+func (w *worker) grant(args *AcquireArgs, key residency.Key, now time.Time) (AcquireReply, bool) {
 	unread := w.unread(args)
 	reply := AcquireReply{Status: Granted, Estimate: w.load.estimate(unread)}
-	if _, gone := w.cancelled[permitKey{args.Incarnation, args.Permit}]; gone || !w.books.Ready() {
+	if _, gone := w.cancelled[permitKey{args.Incarnation, args.Permit}]; gone || !w.planner.Ready() {
 		return AcquireReply{}, false
 	}
 	if args.Adapter != "" {
-		version, ok := w.books.Hold(key, now)
+		version, ok := w.planner.Acquire(key, now)
 		if !ok {
 			return AcquireReply{}, false
 		}
 		reply.Version = version
 	}
-	w.load.cache.note(args.Adapter, args.Prompt)
+	w.load.cache.add(args.Adapter, args.Prompt)
 	w.load.add(permitKey{args.Incarnation, args.Permit}, args.Adapter, unread, now.Add(args.Life+permitGrace))
 	return reply, true
 }
 
-// leave takes a waiter out and returns the answer that it gets.
-func (w *worker) leave(wt *waiter, key residency.Key) AcquireReply {
+// abandonWait takes a waiter out and returns the answer that it gets.
+func (w *worker) abandonWait(wt *waiter, key residency.Key) AcquireReply {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if wt.done {
 		return <-wt.reply
 	}
-	w.books.Unwant(key)
+	w.planner.RemoveWaiter(key)
 	if left := slices.DeleteFunc(w.waiters[key], func(other *waiter) bool { return other == wt }); len(left) > 0 {
 		w.waiters[key] = left
 	} else {
 		delete(w.waiters, key)
 	}
 	now := time.Now()
-	return AcquireReply{Status: Waiting, Waited: now.Sub(wt.begun), Delay: w.books.Delay(key, now)}
+	return AcquireReply{Status: Waiting, Waited: now.Sub(wt.begun), Delay: w.planner.Delay(key, now)}
 }
 
-// notice takes in what has become of a permit.
-func (w *worker) notice(incarnation string, n Notice) bool {
+// applyUpdate takes in what has become of a permit.
+func (w *worker) applyUpdate(incarnation string, n Notice) bool {
 	now := time.Now()
 	key := permitKey{incarnation, n.Permit}
 	w.mu.Lock()
@@ -501,14 +501,14 @@
 		return false
 	}
 	if n.Started {
-		w.load.start(key, n.First)
+		w.load.markStarted(key, n.First)
 	}
 	if n.Missing {
-		w.books.Missing(residency.Key{Model: w.model, Name: p.adapter}, now)
+		w.planner.MarkMissing(residency.Key{Model: w.model, Name: p.adapter}, now)
 		w.signal()
 	}
 	if n.Ended {
-		w.end(key, now)
+		w.endPermit(key, now)
 		if len(w.waiters) > 0 {
 			w.signal()
 		}
--- a/pkg/residency/handover.go
+++ b/pkg/residency/handover.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// Use is how an adapter was used, as one holder of the orders tells the next.
-type Use struct {
+// AdapterUse describes the use of one adapter. The owner of an engine passes it on to the next owner.
+type AdapterUse struct {
 	Key Key
-	// Idle is the time since its last use.
+	// Idle is the time since the adapter was last used.
 	Idle time.Duration
-	// Users counts the requests that may be using it.
+	// Users is the number of requests that may be using the adapter.
 	Users int
 }
 
-// Habits are what the books know beyond what an engine reports.
-type Habits struct {
-	Uses []Use
-	// Warm lists the adapters evicted last, the latest first.
+// Handover is what the planner knows of an engine beyond the engine's own report.
+type Handover struct {
+	Uses []AdapterUse
+	// Warm lists the most recently evicted adapters, the latest first.
 	Warm []Key
 }
 
-// Habits returns what to tell the next holder of the orders.
-func (b *Books) Habits(now time.Time) Habits {
-	var h Habits
-	for key, s := range b.slots {
-		h.Uses = append(h.Uses, Use{Key: key, Idle: now.Sub(s.lastUse), Users: s.users})
+// Handover returns what the next owner of the engine needs to know.
+func (p *Planner) Handover(now time.Time) Handover {
+	var h Handover
+	for key, s := range p.slots {
+		h.Uses = append(h.Uses, AdapterUse{Key: key, Idle: now.Sub(s.lastUse), Users: s.users})
 	}
-	for e := b.warm.order.Front(); e != nil; e = e.Next() {
+	for e := p.warm.order.Front(); e != nil; e = e.Next() {
 		h.Warm = append(h.Warm, e.Value.(Key))
 	}
 	return h
 }
 
-// Adopt takes in what an earlier holder of the orders has told.
-func (b *Books) Adopt(h Habits, now time.Time) {
+// ApplyHandover applies what the previous owner of the engine knew.
+func (p *Planner) ApplyHandover(h Handover, now time.Time) {
 	for _, u := range h.Uses {
-		if s := b.slots[u.Key]; s != nil && s.lastUse.IsZero() {
+		if s := p.slots[u.Key]; s != nil && s.lastUse.IsZero() {
 			s.lastUse = now.Add(-u.Idle)
 		}
 	}
 	for _, key := range slices.Backward(h.Warm) {
-		if b.slots[key] == nil {
-			b.warm.add(key)
+		if p.slots[key] == nil {
+			p.warm.add(key)
 		}
 	}
 }
--- a/pkg/residency/warm.go
+++ b/pkg/residency/warm.go
@@ -2,7 +2,8 @@
 
 import "container/list"
 
-// warmList remembers the adapters evicted last.
+// warmList is a bounded list of the most recently evicted adapters, which the engine can probably reload from
+// its own memory.
 type warmList struct {
 	limit int
 	order *list.List
@@ -13,7 +14,7 @@
 	return warmList{limit: limit, order: list.New(), items: map[Key]*list.Element{}}
 }
 
-// add makes the adapter the one evicted last.
+// add records that the adapter has just been evicted, and drops the oldest entry if the list is full.
 func (w *warmList) add(key Key) {
 	if e := w.items[key]; e != nil {
 		w.order.MoveToFront(e)
@@ -29,7 +30,7 @@
 
 func (w *warmList) has(key Key) bool { return w.items[key] != nil }
 
-func (w *warmList) drop(key Key) {
+func (w *warmList) remove(key Key) {
 	if e := w.items[key]; e != nil {
 		w.order.Remove(e)
 		delete(w.items, key)
