--- a/pkg/orders/engine_load.go
+++ b/pkg/orders/engine_load.go
@@ -7,44 +7,46 @@
 )
 
 const (
-	// initialTokenTime is the time per token of a prompt that is assumed before it was measured.
+	// initialTokenTime is the processing time per prompt token that is assumed before any has been measured.
 	initialTokenTime = 30 * time.Microsecond
-	// tokenTimeWeight is the weight of a new measurement in the average.
+	// tokenTimeWeight is the weight of a new measurement in the moving average of the time per token.
 	tokenTimeWeight = 0.1
 	// minTokenTime and maxTokenTime bound the average.
 	minTokenTime = 10 * time.Microsecond
 	maxTokenTime = 500 * time.Microsecond
 	// baseFirstTokenTime is the time to the first token of an empty prompt at an idle engine.
 	baseFirstTokenTime = 15 * time.Millisecond
-	// contentionShare is the part of an engine's slots from which further requests slow the others down, and
-	// maxContentionDelay the time that this adds when all slots are taken.
+	// Requests slow each other down once more than contentionShare of an engine's request slots are taken.
+	// maxContentionDelay is the time that this adds to the first token when all slots are taken.
 	contentionShare    = 0.4
 	maxContentionDelay = 250 * time.Millisecond
-	// permitGrace is how long after a request's time is over its permit is dropped without a notice.
+	// permitGrace is how long a permit is kept beyond the longest time that its request can last. After that,
+	// the permit expires even if no update says that the request has ended.
 	permitGrace = 500 * time.Millisecond
 )
 
-// permitKey names a permit.
+// permitKey identifies a permit by the caller's process and the number that the process gave it.
 type permitKey struct {
 	incarnation string
 	permit      uint64
 }
 
-// permit is a request that was let through to the engine.
+// permit describes a request that may be running on the engine.
 type permit struct {
 	adapter string
-	// unread are the prompt tokens that the engine still has to read for it.
+	// unread is the number of the request's prompt tokens that the engine has to process.
 	unread int
-	// queued are the tokens that were to be read when the request was let through, its own included.
+	// queued is the number of tokens that the engine had to process when the permit was granted, including
+	// the request's own.
 	queued  int
 	started bool
 	expires time.Time
 }
 
-// engineLoad estimates how busy an engine is by the requests that were let through to it.
+// engineLoad estimates how busy an engine is from the permits granted for it.
 type engineLoad struct {
 	permits map[permitKey]*permit
-	// unread are the prompt tokens of requests that have not begun.
+	// unread is the number of prompt tokens to be processed for requests without a first token yet.
 	unread       int
 	running      int
 	requestSlots int
@@ -56,18 +58,18 @@
 	return engineLoad{permits: map[permitKey]*permit{}, requestSlots: slots, tokenTime: initialTokenTime, cache: newPromptCache(capacity)}
 }
 
-// estimate returns the expected time to the first token of a request with that many tokens to read.
+// estimate returns the expected time to the first token of a request with that many tokens to process.
 func (l *engineLoad) estimate(tokens int) time.Duration {
 	return l.idleEstimate(l.unread+tokens) + l.contentionDelay()
 }
 
-// idleEstimate returns the expected time to the first token of a request with that many tokens to read at an idle
-// engine.
+// idleEstimate returns the expected time to the first token of a request with that many tokens to process at
+// an idle engine.
 func (l *engineLoad) idleEstimate(tokens int) time.Duration {
 	return baseFirstTokenTime + time.Duration(tokens)*l.tokenTime
 }
 
-// contentionDelay returns the time that requests beyond a share of the slots add.
+// contentionDelay returns the time that the number of running requests adds to the first token.
 func (l *engineLoad) contentionDelay() time.Duration {
 	if l.requestSlots == 0 {
 		return 0
@@ -76,14 +78,15 @@
 	return time.Duration(max(beyond, 0) / (1 - contentionShare) * float64(maxContentionDelay))
 }
 
-// add notes a request that is let through.
+// add records a granted permit.
 func (l *engineLoad) add(key permitKey, adapter string, tokens int, expires time.Time) {
 	l.unread += tokens
 	l.running++
 	l.permits[key] = &permit{adapter: adapter, unread: tokens, queued: l.unread, expires: expires}
 }
 
-// started notes that a request's first token has arrived after that time.
+// markStarted records that a request's first token has arrived that long after the request was sent, and
+// updates the average time per token.
 func (l *engineLoad) markStarted(key permitKey, after time.Duration) {
 	p := l.permits[key]
 	if p == nil || p.started {
@@ -99,7 +102,7 @@
 	l.tokenTime = min(max(l.tokenTime, minTokenTime), maxTokenTime)
 }
 
-// remove removes a request and returns it, or nil if it is not known.
+// remove removes a permit and returns it, or nil if there is no such permit.
 func (l *engineLoad) remove(key permitKey) *permit {
 	p := l.permits[key]
 	if p == nil {
@@ -124,7 +127,7 @@
 	return keys
 }
 
-// promptCache remembers which parts of prompts an engine is likely to keep.
+// promptCache estimates which parts of prompts an engine still has in its prompt cache.
 type promptCache struct {
 	capacity int
 	tokens   int
@@ -132,7 +135,8 @@
 	parts    map[partKey]*cachedPart
 }
 
-// partKey names a part of a prompt under an adapter.
+// partKey identifies a part of a prompt processed with an adapter. Engines cache parts for each adapter
+// separately.
 type partKey struct {
 	adapter string
 	id      string
@@ -147,8 +151,8 @@
 	return promptCache{capacity: capacity, parts: map[partKey]*cachedPart{}}
 }
 
-// unread returns the tokens of a prompt that the engine has to read: those from the first part on that
-// it does not keep.
+// unread returns the number of prompt tokens that the engine has to process: all but the leading parts that
+// it has cached.
 func (c *promptCache) unread(adapter string, prompt []dialect.PromptPart, tokens int) int {
 	kept := 0
 	for _, p := range prompt {
@@ -160,7 +164,7 @@
 	return max(tokens-kept, 0)
 }
 
-// add takes in that the engine reads a prompt.
+// add records that the engine processes a prompt, and evicts old parts if the cache is over its capacity.
 func (c *promptCache) add(adapter string, prompt []dialect.PromptPart) {
 	for _, p := range prompt {
 		c.clock++
@@ -177,10 +181,10 @@
 	}
 }
 
-// evictionSample is the number of parts among which the one used least recently is dropped.
+// evictionSample is the number of parts among which evictOldest chooses.
 const evictionSample = 16
 
-// evictOldest drops the part used least recently among a sample.
+// evictOldest removes the least recently used of a sample of the parts.
 func (c *promptCache) evictOldest() {
 	var oldest partKey
 	var found *cachedPart
@@ -197,7 +201,7 @@
 	delete(c.parts, oldest)
 }
 
-// removeAdapter drops what was kept for an adapter.
+// removeAdapter removes all parts of an adapter.
 func (c *promptCache) removeAdapter(adapter string) {
 	for key, p := range c.parts {
 		if key.adapter == adapter {
--- a/pkg/orders/message.go
+++ b/pkg/orders/message.go
@@ -1,5 +1,7 @@
-// Package orders gives engines their orders, for all VMs. The VM that holds the lease of an engine
-// keeps the books on its adapters; the other VMs ask it before they send a request that names one.
+// Package orders sends load and evict orders to engines, and grants permits to run requests on them. Each
+// engine has one owner: the VM whose lease lets it send orders to the engine. The owner tracks which adapters
+// the engine holds. The other VMs ask the owner for a permit before they send the engine a request that names
+// an adapter.
 package orders
 
 import (
@@ -12,113 +14,119 @@
 // ServiceName is the name under which the daemon registers Service with net/rpc.
 const ServiceName = "Orders"
 
-// Methods of the service.
+// RPC methods of the service.
 const (
 	AcquireMethod  = ServiceName + ".Acquire"
 	ReportMethod   = ServiceName + ".Report"
 	handoverMethod = ServiceName + ".Tell"
 )
 
-// Status is the answer to a request for a place.
+// Status is the outcome of a request for a permit.
 type Status int
 
-// Answers to requests for a place.
+// Outcomes of a request for a permit.
 const (
-	// Granted says that the request may be sent now.
+	// Granted means that the request may be sent to the engine now.
 	Granted Status = iota
-	// Offered says that the request would have to wait longer than its bounds allow.
+	// Offered means that the request would have to wait longer than its bounds allow. No permit is granted;
+	// the reply contains the expected waits, so that the caller can compare engines.
 	Offered
-	// NotOwner says that the called VM does not give orders to the engine.
+	// NotOwner means that the VM that was called is not the owner of the engine.
 	NotOwner
-	// Down says that the engine cannot be reached.
+	// Down means that the engine cannot be reached.
 	Down
-	// Waiting says that the adapter is on its way. The caller asks again at once if it wants to wait on.
+	// Waiting means that the adapter is not loaded yet. A caller that wants to wait longer calls again at
+	// once.
 	Waiting
 )
 
-// MaxWait bounds how long one call waits for an adapter, so that a caller soon learns that a VM does
-// not answer.
+// MaxWait limits how long one call waits for an adapter, so that a caller soon finds out if the owner's VM is
+// unresponsive.
 const MaxWait = 100 * time.Millisecond
 
-// String names the status.
+// String returns the name of the status as it is logged.
 func (s Status) String() string {
 	return [...]string{"granted", "offered", "not_owner", "down", "waiting"}[s]
 }
 
-// AcquireArgs asks for a place for one request at an engine.
+// AcquireArgs requests a permit for one request on an engine.
 type AcquireArgs struct {
-	// Caller and Incarnation name the process that asks, Permit its request.
+	// Caller is the calling VM and Incarnation its process. Permit identifies the request within that
+	// process.
 	Caller      string
 	Incarnation string
 	Permit      uint64
-	// Endpoint and Started name the engine's process.
+	// Endpoint and Started identify the engine's process.
 	Endpoint string
 	Started  int64
 	Model    string
 	Adapter  string
-	// Urgency ranks the request; 0 is first.
+	// Urgency ranks the request; 0 is the most urgent.
 	Urgency int
-	// Tokens is the length of the prompt, Output the bound of the answer.
+	// Tokens is the length of the prompt, and Output the limit on the response's length, both in tokens.
 	Tokens, Output int
 	Prompt         []dialect.PromptPart
-	// Left is how long the adapter is waited for at most, Life how long the request lasts at most.
+	// Left is the longest time to wait for the adapter, and Life the longest time that the request can last.
 	Left, Life time.Duration
-	// Bound is the longest expected time to the first token that the caller accepts, LoadBound the longest
-	// expected wait for the adapter.
+	// Bound is the longest expected time to the first token that the caller accepts, and LoadBound the
+	// longest expected wait for the adapter.
 	Bound, LoadBound time.Duration
-	// Prefetch asks for the adapter to be loaded if nothing else is to be, and for no place.
+	// Prefetch asks for the adapter to be loaded if no request is waiting for a load. No permit is granted.
 	Prefetch bool
-	// Ended are permits of the caller that have ended, or begun to run, since its last call.
+	// Ended contains the updates to the caller's permits since its last call: requests that have started or
+	// ended.
 	Ended []Notice
 }
 
-// AcquireReply is the answer.
+// AcquireReply is the reply to AcquireArgs.
 type AcquireReply struct {
 	Status Status
-	// Owner is the VM that answers.
+	// Owner is the VM that sent the reply.
 	Owner string
-	// Version is the version of the adapter to ask for; 0 for requests without one.
+	// Version is the adapter version to name in the request, or 0 if the request names no adapter.
 	Version int
-	// Estimate is the expected time to the first token, without the wait for the adapter.
+	// Estimate is the expected time to the first token, not including the wait for the adapter.
 	Estimate time.Duration
-	// Own is the part of Estimate that is the request's own work, without what is ahead of it.
+	// Own is the time to the first token that the request would have at an idle engine. It is the part of
+	// Estimate that is not caused by other requests.
 	Own time.Duration
-	// Waited is how long the request has waited for the adapter, Delay how long it would still have to.
+	// Waited is how long the request has waited for the adapter in this call, and Delay the expected further
+	// wait.
 	Waited time.Duration
 	Delay  time.Duration
 }
 
-// Notice tells what has become of a permit.
+// Notice is an update to a permit.
 type Notice struct {
 	Permit uint64
-	// Started says that the first token has arrived, First after how long.
+	// Started is set if the first token has arrived, and First is the time that it took.
 	Started bool
 	First   time.Duration
-	// Ended says that the request has ended at the engine.
+	// Ended is set if the request has ended at the engine.
 	Ended bool
-	// Missing says that the engine did not hold the adapter.
+	// Missing is set if the engine rejected the request because it did not hold the adapter.
 	Missing bool
 }
 
-// ReportArgs passes notices on.
+// ReportArgs sends updates to permits when no call to Acquire carries them.
 type ReportArgs struct {
 	Caller      string
 	Incarnation string
 	Notices     []Notice
 }
 
-// HandoverArgs asks a VM that gave an engine its orders before what it knows of the engine.
+// HandoverArgs asks the previous owner of an engine what it knows of the engine.
 type HandoverArgs struct {
 	Endpoint string
 	Started  int64
 }
 
-// HandoverReply is the answer.
+// HandoverReply is the reply to HandoverArgs.
 type HandoverReply struct {
-	// Known is false if the VM knows nothing of the engine.
+	// Known is set if the VM has read a report of the engine, so that Habits is meaningful.
 	Known  bool
 	Habits residency.Handover
 }
 
-// ReportReply is the answer.
+// ReportReply is the empty reply to ReportArgs.
 type ReportReply struct{}
--- a/pkg/orders/orders_test.go
+++ b/pkg/orders/orders_test.go
@@ -21,13 +21,13 @@
 	"github.com/mallowlink/mallowlink/pkg/upstream"
 )
 
-// receivedOrder is an order as an engine has received it.
+// receivedOrder is an order as an engine received it.
 type receivedOrder struct {
 	at    time.Time
 	order engine.Order
 }
 
-// fakeEngines are engines in virtual time that load an adapter in 250 ms.
+// fakeEngines simulates an engine in virtual time that loads an adapter in 250 ms.
 type fakeEngines struct {
 	mu       sync.Mutex
 	accepted int64
@@ -84,7 +84,7 @@
 	return append([]receivedOrder(nil), f.received...)
 }
 
-// fakeLessor is a Lessor whose rights a test gives and takes.
+// fakeLessor is a lease.Lessor with one lease, which the test grants and withdraws.
 type fakeLessor struct {
 	mu   sync.Mutex
 	held bool
@@ -104,14 +104,14 @@
 
 func (r *fakeLessor) HolderOf(string) (lease.Holder, bool) { return lease.Holder{}, false }
 
-// unreachablePeers is a Caller that reaches no VM.
+// unreachablePeers is a peer.Caller whose calls all fail because no VM can be reached.
 type unreachablePeers struct{}
 
 func (unreachablePeers) Call(context.Context, string, string, any, any) error {
 	return peer.ErrUnreachable
 }
 
-// fixture is one service before one engine.
+// fixture is a service with one engine.
 type fixture struct {
 	s       *Service
 	engines *fakeEngines
@@ -122,7 +122,7 @@
 
 const adapterSlots = 3
 
-func runWithFixture(t *testing.T, do func(s *fixture)) {
+func runWithFixture(t *testing.T, test func(f *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		r := roster.New()
@@ -130,9 +130,9 @@
 		r.Set(roster.NewView([]roster.Endpoint{{Incarnation: id, Group: "g", Address: "x:1"}}))
 		log := logrus.New()
 		log.SetLevel(logrus.PanicLevel)
-		x := &fixture{engines: &fakeEngines{loaded: map[string]time.Time{}}, lessor: &fakeLessor{held: true}, id: id}
-		x.s = NewService(ctx, Config{
-			Self: "vm1", Leases: x.lessor, Engines: x.engines, Roster: r,
+		f := &fixture{engines: &fakeEngines{loaded: map[string]time.Time{}}, lessor: &fakeLessor{held: true}, id: id}
+		f.s = NewService(ctx, Config{
+			Self: "vm1", Leases: f.lessor, Engines: f.engines, Roster: r,
 			Spec: func(string) (Spec, bool) {
 				return Spec{Places: adapterSlots, Slots: 8, CacheTokens: 10_000, Model: "base", ModelLoad: time.Second}, true
 			},
@@ -141,7 +141,7 @@
 			Caller:  unreachablePeers{}, Turns: 3 * time.Second, Started: time.Now(),
 			Metrics: metrics.NewRegistry(), Log: log,
 		})
-		do(x)
+		test(f)
 		cancel()
 		time.Sleep(time.Minute)
 	})
@@ -174,209 +174,213 @@
 	_ = f.s.Report(&ReportArgs{Incarnation: "i", Notices: []Notice{{Permit: permit, Ended: true}}}, &ReportReply{})
 }
 
-// Requests for one adapter wait for one load together.
+// Requests that wait for the same adapter must share one load.
 func TestRequestsForOneAdapterShareOneLoad(t *testing.T) {
-	runWithFixture(t, func(x *fixture) {
-		x.gainLease()
+	runWithFixture(t, func(f *fixture) {
+		f.gainLease()
 		time.Sleep(time.Second)
-		begun := time.Now()
+		start := time.Now()
 		var wait sync.WaitGroup
 		for range 20 {
-			args := x.newArgs("a")
+			args := f.newArgs("a")
 			wait.Go(func() {
-				require.Equal(t, Granted, x.acquire(args).Status)
-				require.Less(t, time.Since(begun), 300*time.Millisecond)
+				require.Equal(t, Granted, f.acquire(args).Status)
+				require.Less(t, time.Since(start), 300*time.Millisecond)
 			})
 		}
 		wait.Wait()
 		loads := 0
-		for _, g := range x.engines.receivedOrders() {
+		for _, g := range f.engines.receivedOrders() {
 			if g.order.Expected == 0 && !g.order.Evict {
 				loads++
 			}
 			require.EqualValues(t, 7, g.order.Fencing)
 		}
 		require.NotZero(t, loads)
-		require.EqualValues(t, 1, x.engines.accepted)
+		require.EqualValues(t, 1, f.engines.accepted)
 	})
 }
 
-// An adapter in use is not evicted; it is once its requests have ended.
+// Guards against evicting an adapter that requests are using. It may be evicted once they have ended.
 func TestAdapterInUseIsNotEvicted(t *testing.T) {
-	runWithFixture(t, func(x *fixture) {
-		x.gainLease()
+	runWithFixture(t, func(f *fixture) {
+		f.gainLease()
 		time.Sleep(time.Second)
 		var permits []uint64
 		for i := range adapterSlots {
-			args := x.newArgs(fmt.Sprintf("a%d", i))
-			require.Equal(t, Granted, x.acquire(args).Status)
+			args := f.newArgs(fmt.Sprintf("a%d", i))
+			require.Equal(t, Granted, f.acquire(args).Status)
 			permits = append(permits, args.Permit)
 		}
-		args := x.newArgs("new")
+		args := f.newArgs("new")
 		var reply AcquireReply
-		require.NoError(t, x.s.Acquire(args, &reply))
+		require.NoError(t, f.s.Acquire(args, &reply))
 		require.Equal(t, Waiting, reply.Status)
-		require.Len(t, x.engines.loaded, adapterSlots)
-		x.endPermit(permits[1])
-		require.Equal(t, Granted, x.acquire(args).Status)
-		require.NotContains(t, x.engines.loaded, "a1")
-		require.Contains(t, x.engines.loaded, "a0")
+		require.Len(t, f.engines.loaded, adapterSlots)
+		f.endPermit(permits[1])
+		require.Equal(t, Granted, f.acquire(args).Status)
+		require.NotContains(t, f.engines.loaded, "a1")
+		require.Contains(t, f.engines.loaded, "a0")
 	})
 }
 
-// Permits whose ends are never told are freed by their time.
+// Guards against adapters that stay in use forever because the update that ends a permit was lost.
 func TestUnreportedPermitsExpire(t *testing.T) {
-	runWithFixture(t, func(x *fixture) {
-		x.gainLease()
+	runWithFixture(t, func(f *fixture) {
+		f.gainLease()
 		time.Sleep(time.Second)
 		for i := range adapterSlots {
-			require.Equal(t, Granted, x.acquire(x.newArgs(fmt.Sprintf("a%d", i))).Status)
+			require.Equal(t, Granted, f.acquire(f.newArgs(fmt.Sprintf("a%d", i))).Status)
 		}
 		time.Sleep(7 * time.Second)
-		require.Equal(t, Granted, x.acquire(x.newArgs("new")).Status)
+		require.Equal(t, Granted, f.acquire(f.newArgs("new")).Status)
 	})
 }
 
-// A permit that ended before it was granted takes no place.
+// A caller that gives up may end its permit before it is granted. Guards against granting the permit later,
+// when no update would end it any more.
 func TestPermitEndedWhileWaitingIsNotGranted(t *testing.T) {
-	runWithFixture(t, func(x *fixture) {
-		x.gainLease()
+	runWithFixture(t, func(f *fixture) {
+		f.gainLease()
 		time.Sleep(time.Second)
-		args := x.newArgs("a")
+		args := f.newArgs("a")
 		var reply AcquireReply
-		require.NoError(t, x.s.Acquire(args, &reply))
+		require.NoError(t, f.s.Acquire(args, &reply))
 		require.Equal(t, Waiting, reply.Status)
-		x.endPermit(args.Permit)
+		f.endPermit(args.Permit)
 		time.Sleep(200 * time.Millisecond)
-		require.NoError(t, x.s.Acquire(args, &reply))
+		require.NoError(t, f.s.Acquire(args, &reply))
 		require.Equal(t, Waiting, reply.Status)
 	})
 }
 
-// Without its lease a VM gives no orders and grants nothing, also between the check and the events.
+// A VM without the lease must neither send orders nor grant permits. This also holds in the time between the
+// loss of the lease and the event that reports it, and until the event that reports its return.
 func TestNoOrdersWithoutLease(t *testing.T) {
-	runWithFixture(t, func(x *fixture) {
-		x.gainLease()
+	runWithFixture(t, func(f *fixture) {
+		f.gainLease()
 		time.Sleep(time.Second)
-		require.Equal(t, Granted, x.acquire(x.newArgs("a")).Status)
-		x.lessor.set(false)
-		require.Equal(t, NotOwner, x.acquire(x.newArgs("b")).Status)
-		given := len(x.engines.receivedOrders())
+		require.Equal(t, Granted, f.acquire(f.newArgs("a")).Status)
+		f.lessor.set(false)
+		require.Equal(t, NotOwner, f.acquire(f.newArgs("b")).Status)
+		sent := len(f.engines.receivedOrders())
 		time.Sleep(5 * time.Second)
-		require.Len(t, x.engines.receivedOrders(), given)
-		x.s.LeaseLost(LeaseOf(x.id.ID))
-		x.lessor.set(true)
-		require.Equal(t, NotOwner, x.acquire(x.newArgs("b")).Status)
+		require.Len(t, f.engines.receivedOrders(), sent)
+		f.s.LeaseLost(LeaseOf(f.id.ID))
+		f.lessor.set(true)
+		require.Equal(t, NotOwner, f.acquire(f.newArgs("b")).Status)
 	})
 }
 
-// A VM that gets a lease back from another one keeps its orders apart from its earlier ones.
+// Orders of this VM from before another VM owned the engine may still be on their way. Guards against sending
+// new orders too soon after the lease has returned.
 func TestOrdersWaitAfterLeaseReturns(t *testing.T) {
-	runWithFixture(t, func(x *fixture) {
-		x.gainLease()
+	runWithFixture(t, func(f *fixture) {
+		f.gainLease()
 		time.Sleep(10 * time.Second)
-		require.Equal(t, Granted, x.acquire(x.newArgs("a")).Status)
-		x.s.LeaseLost(LeaseOf(x.id.ID))
+		require.Equal(t, Granted, f.acquire(f.newArgs("a")).Status)
+		f.s.LeaseLost(LeaseOf(f.id.ID))
 		lost := time.Now()
 		time.Sleep(500 * time.Millisecond)
-		before := len(x.engines.receivedOrders())
-		x.gainLease("vm2", "vm1")
-		require.Equal(t, Granted, x.acquire(x.newArgs("b")).Status)
-		require.GreaterOrEqual(t, x.engines.receivedOrders()[before].at.Sub(lost), 3*time.Second)
-		// Nobody came between: no need to wait.
-		x.s.LeaseLost(LeaseOf(x.id.ID))
-		x.gainLease("vm1", "vm2")
-		begun := time.Now()
-		require.Equal(t, Granted, x.acquire(x.newArgs("c")).Status)
-		require.Less(t, time.Since(begun), time.Second)
+		before := len(f.engines.receivedOrders())
+		f.gainLease("vm2", "vm1")
+		require.Equal(t, Granted, f.acquire(f.newArgs("b")).Status)
+		require.GreaterOrEqual(t, f.engines.receivedOrders()[before].at.Sub(lost), 3*time.Second)
+		// No other VM has owned the engine in between, so there is no wait.
+		f.s.LeaseLost(LeaseOf(f.id.ID))
+		f.gainLease("vm1", "vm2")
+		start := time.Now()
+		require.Equal(t, Granted, f.acquire(f.newArgs("c")).Status)
+		require.Less(t, time.Since(start), time.Second)
 	})
 }
 
-// A restarted process does not know when its VM gave orders: it waits from its own start on.
+// A restarted process does not know when its VM last sent orders. It must wait as if the last order had been
+// sent when the process started.
 func TestOrdersWaitAfterRestart(t *testing.T) {
-	runWithFixture(t, func(x *fixture) {
+	runWithFixture(t, func(f *fixture) {
 		started := time.Now()
-		x.gainLease("vm2", "vm1")
-		require.Equal(t, Granted, x.acquire(x.newArgs("a")).Status)
-		require.GreaterOrEqual(t, x.engines.receivedOrders()[0].at.Sub(started), 3*time.Second)
+		f.gainLease("vm2", "vm1")
+		require.Equal(t, Granted, f.acquire(f.newArgs("a")).Status)
+		require.GreaterOrEqual(t, f.engines.receivedOrders()[0].at.Sub(started), 3*time.Second)
 	})
 }
 
-// Requests for an engine that cannot be reached are turned away at once.
+// Requests for an engine that cannot be reached must be rejected at once.
 func TestUnreachableEngineRejectsAtOnce(t *testing.T) {
-	runWithFixture(t, func(x *fixture) {
-		x.gainLease()
+	runWithFixture(t, func(f *fixture) {
+		f.gainLease()
 		time.Sleep(time.Second)
-		x.engines.mu.Lock()
-		x.engines.down = true
-		x.engines.mu.Unlock()
-		require.Equal(t, Down, x.acquire(x.newArgs("a")).Status)
-		begun := time.Now()
-		require.Equal(t, Down, x.acquire(x.newArgs("b")).Status)
-		require.Less(t, time.Since(begun), 10*time.Millisecond)
-		x.engines.mu.Lock()
-		x.engines.down = false
-		x.engines.mu.Unlock()
+		f.engines.mu.Lock()
+		f.engines.down = true
+		f.engines.mu.Unlock()
+		require.Equal(t, Down, f.acquire(f.newArgs("a")).Status)
+		start := time.Now()
+		require.Equal(t, Down, f.acquire(f.newArgs("b")).Status)
+		require.Less(t, time.Since(start), 10*time.Millisecond)
+		f.engines.mu.Lock()
+		f.engines.down = false
+		f.engines.mu.Unlock()
 		time.Sleep(2 * time.Second)
-		require.Equal(t, Granted, x.acquire(x.newArgs("c")).Status)
+		require.Equal(t, Granted, f.acquire(f.newArgs("c")).Status)
 	})
 }
 
-// An engine with much to read, or whose adapters all have to be waited for, says how long a request would
-// wait instead of keeping it.
+// If the expected wait for the prompts of other requests or for the adapter is over the request's bounds, the
+// owner must return the expected waits at once instead of letting the request wait.
 func TestWaitsOverTheBoundsAreOffered(t *testing.T) {
-	runWithFixture(t, func(x *fixture) {
-		x.gainLease()
+	runWithFixture(t, func(f *fixture) {
+		f.gainLease()
 		time.Sleep(time.Second)
-		big := x.newArgs("a")
+		big := f.newArgs("a")
 		big.Tokens = 20_000
-		require.Equal(t, Granted, x.acquire(big).Status)
-		args := x.newArgs("a")
+		require.Equal(t, Granted, f.acquire(big).Status)
+		args := f.newArgs("a")
 		args.Bound = 100 * time.Millisecond
-		reply := x.acquire(args)
+		reply := f.acquire(args)
 		require.Equal(t, Offered, reply.Status)
 		require.Greater(t, reply.Estimate, 400*time.Millisecond)
 		require.Zero(t, reply.Delay)
-		args = x.newArgs("cold")
+		args = f.newArgs("cold")
 		args.LoadBound = 100 * time.Millisecond
-		reply = x.acquire(args)
+		reply = f.acquire(args)
 		require.Equal(t, Offered, reply.Status)
 		require.Greater(t, reply.Delay, 200*time.Millisecond)
-		_ = x.s.Report(&ReportArgs{Incarnation: "i", Notices: []Notice{{Permit: big.Permit, Started: true, First: time.Second}}}, &ReportReply{})
-		args = x.newArgs("a")
+		_ = f.s.Report(&ReportArgs{Incarnation: "i", Notices: []Notice{{Permit: big.Permit, Started: true, First: time.Second}}}, &ReportReply{})
+		args = f.newArgs("a")
 		args.Bound = 100 * time.Millisecond
-		require.Equal(t, Granted, x.acquire(args).Status, "the prompt has been read")
+		require.Equal(t, Granted, f.acquire(args).Status, "the prompt ahead has been processed")
 	})
 }
 
 func TestPrefetchLoadsWhenNoRequestWaits(t *testing.T) {
-	runWithFixture(t, func(x *fixture) {
-		x.gainLease()
+	runWithFixture(t, func(f *fixture) {
+		f.gainLease()
 		time.Sleep(time.Second)
-		args := x.newArgs("a")
+		args := f.newArgs("a")
 		args.Prefetch = true
-		require.Equal(t, Offered, x.acquire(args).Status)
+		require.Equal(t, Offered, f.acquire(args).Status)
 		time.Sleep(400 * time.Millisecond)
-		begun := time.Now()
-		require.Equal(t, Granted, x.acquire(x.newArgs("a")).Status)
-		require.Less(t, time.Since(begun), 20*time.Millisecond)
+		start := time.Now()
+		require.Equal(t, Granted, f.acquire(f.newArgs("a")).Status)
+		require.Less(t, time.Since(start), 20*time.Millisecond)
 	})
 }
 
-// The next holder learns from this one how adapters were used.
+// The previous owner of an engine must pass on how adapters were used, for as long as the state is kept.
 func TestHandoverToNextOwner(t *testing.T) {
-	runWithFixture(t, func(x *fixture) {
-		x.gainLease()
+	runWithFixture(t, func(f *fixture) {
+		f.gainLease()
 		time.Sleep(time.Second)
-		require.Equal(t, Granted, x.acquire(x.newArgs("a")).Status)
-		x.s.LeaseLost(LeaseOf(x.id.ID))
+		require.Equal(t, Granted, f.acquire(f.newArgs("a")).Status)
+		f.s.LeaseLost(LeaseOf(f.id.ID))
 		var reply HandoverReply
-		require.NoError(t, x.s.Tell(&HandoverArgs{Endpoint: x.id.ID, Started: x.id.Started}, &reply))
+		require.NoError(t, f.s.Tell(&HandoverArgs{Endpoint: f.id.ID, Started: f.id.Started}, &reply))
 		require.True(t, reply.Known)
 		require.Len(t, reply.Habits.Uses, 1)
 		time.Sleep(2 * retirementPeriod)
 		reply = HandoverReply{}
-		require.NoError(t, x.s.Tell(&HandoverArgs{Endpoint: x.id.ID, Started: x.id.Started}, &reply))
+		require.NoError(t, f.s.Tell(&HandoverArgs{Endpoint: f.id.ID, Started: f.id.Started}, &reply))
 		require.False(t, reply.Known)
 	})
 }
@@ -386,7 +390,7 @@
 	for _, name := range LeaseNames() {
 		names[name] = true
 	}
-	require.Len(t, names, Shares)
+	require.Len(t, names, LeaseCount)
 	for i := range 1000 {
 		require.True(t, names[LeaseOf(fmt.Sprintf("i-%d", i))])
 	}
@@ -412,7 +416,7 @@
 	require.Equal(t, 700, c.unread("x", prompt, 700))
 	c.add("x", prompt)
 	require.Equal(t, 200, c.unread("x", prompt, 700))
-	require.Equal(t, 700, c.unread("y", prompt, 700), "parts are kept for each adapter")
+	require.Equal(t, 700, c.unread("y", prompt, 700), "parts must be cached per adapter")
 	require.Equal(t, 400, c.unread("x", []dialect.PromptPart{{ID: "a", Tokens: 300}, {ID: "z", Tokens: 100}, {ID: "b", Tokens: 200}}, 700))
 	c.removeAdapter("x")
 	require.Equal(t, 700, c.unread("x", prompt, 700))
--- a/pkg/orders/service.go
+++ b/pkg/orders/service.go
@@ -20,16 +20,16 @@
 	"github.com/mallowlink/mallowlink/pkg/roster"
 )
 
-// LeasePrefix precedes the number of a share of the engines.
+// LeasePrefix is the prefix of the names of engine leases. The number of a share of the engines follows.
 const LeasePrefix = "engines/"
 
-// Shares is the number of leases among which the engines are divided. It is a few times the number of
-// VMs that should give orders, so that they get about equal parts.
-const Shares = 32
+// LeaseCount is the number of leases among which the engines are divided. It is a few times the number of VMs
+// that should own engines, so that each of them gets about the same number.
+const LeaseCount = 32
 
-// LeaseNames returns the names of all leases on engines.
+// LeaseNames returns the names of all engine leases.
 func LeaseNames() []string {
-	names := make([]string, Shares)
+	names := make([]string, LeaseCount)
 	for i := range names {
 		names[i] = leaseName(i)
 	}
@@ -38,40 +38,40 @@
 
 func leaseName(share int) string { return fmt.Sprintf("%s%02d", LeasePrefix, share) }
 
-// LeaseOf returns the name of the lease that gives the right to order an engine.
+// LeaseOf returns the name of the lease whose holder owns the engine.
 func LeaseOf(endpoint string) string {
-	return leaseName(int(xxhash.Sum64String(endpoint) % Shares))
+	return leaseName(int(xxhash.Sum64String(endpoint) % LeaseCount))
 }
 
-// Spec is what is known of the engines of a group.
+// Spec describes the engines of an endpoint group.
 type Spec struct {
-	// Places is the number of adapters that an engine holds at once.
+	// Places is the number of adapters that an engine can hold at once.
 	Places int
-	// Slots is the number of requests that an engine runs at once.
+	// Slots is the number of requests that an engine can run at once.
 	Slots int
-	// CacheTokens is an engine's memory for prompts, in tokens.
+	// CacheTokens is the size of an engine's prompt cache, in tokens.
 	CacheTokens int
-	// Model is the base model, ModelLoad the time that it takes to load.
+	// Model is the base model, and ModelLoad the time that it takes to load.
 	Model     string
 	ModelLoad time.Duration
 }
 
-// Config holds what the service works with.
+// Config configures a Service.
 type Config struct {
-	// Self identifies this VM.
+	// Self is the identifier of this VM.
 	Self    string
 	Leases  lease.Lessor
 	Engines engine.Engines
 	Roster  *roster.Roster
-	// Spec returns what is known of a group's engines, false if it has none.
+	// Spec describes the engines of a group. It returns false for groups that have no engines.
 	Spec func(group string) (Spec, bool)
-	// Newest returns the newest version of an adapter that the operator has declared; 0 if none.
+	// Newest returns the newest version of an adapter that the operator has declared, or 0 if there is none.
 	Newest func(residency.Key) int
-	// Address returns where a VM takes calls, false if it is not known.
+	// Address returns the address at which a VM takes calls from other VMs, or false if it is not known.
 	Address func(vm string) (string, bool)
 	Caller  peer.Caller
-	// Turns is the least time between two orders of this VM to an engine that another VM has ordered in
-	// between. Started is when the process started: it does not know of orders before that.
+	// Turns is the minimum time between two orders of this VM to an engine if another VM owned the engine in
+	// between. Started is when this process started; it does not know of orders sent before that.
 	Turns   time.Duration
 	Started time.Time
 	Metrics metrics.Registry
@@ -82,7 +82,8 @@
 	orders metrics.Counter
 }
 
-// Service gives orders to the engines whose leases this VM holds. It implements lease.Listener.
+// Service sends orders to the engines that this VM owns, and grants permits for them. It implements
+// lease.Listener.
 type Service struct {
 	cfg    Config
 	meters meters
@@ -92,17 +93,17 @@
 	// The fields below are guarded by mu.
 
 	workers map[roster.Incarnation]*worker
-	// leases maps the leases that this VM holds to when it may give orders under them.
+	// leases maps each engine lease held by this VM to the time from which orders may be sent under it.
 	leases map[string]time.Time
-	// lostAt maps the leases that this VM has held to when it lost them.
+	// lostAt maps each engine lease that this VM has held to the time at which it was lost.
 	lostAt map[string]time.Time
-	// previousOwners maps the leases that this VM holds to the VM that held them before.
+	// previousOwners maps each engine lease held by this VM to the VM that held it before.
 	previousOwners map[string]string
-	// retired are the workers of engines that another VM orders now.
+	// retired contains the workers of engines that this VM owned until recently.
 	retired map[roster.Incarnation]*worker
 }
 
-// NewService returns a service without leases. ctx ends its work.
+// NewService returns a service that holds no leases. Its workers run until ctx is cancelled.
 func NewService(ctx context.Context, cfg Config) *Service {
 	return &Service{
 		cfg: cfg, ctx: ctx,
@@ -124,11 +125,12 @@
 	s.Refresh()
 }
 
-// orderGapMargin is added to the time between turns, for orders that are under way.
+// orderGapMargin is added to Config.Turns to allow for orders that are still on their way to the engine.
 const orderGapMargin = 100 * time.Millisecond
 
-// earliestOrder returns when this VM may give orders under a lease that it has gained. If it has held the lease
-// before and another VM in between, its orders must be apart. s.mu is held.
+// earliestOrder returns the time from which this VM may send orders under a lease that it has gained. If it
+// held the lease earlier and another VM held it in between, its new orders must be at least Config.Turns
+// later than its old ones. s.mu must be held.
 func (s *Service) earliestOrder(grant lease.Grant) time.Time {
 	if len(grant.Recent) == 0 || grant.Recent[0] == s.cfg.Self || !slices.Contains(grant.Recent, s.cfg.Self) {
 		return time.Time{}
@@ -151,8 +153,8 @@
 	s.Refresh()
 }
 
-// Refresh starts work for the engines that this VM is to order by its leases and the roster, and ends
-// it for the others.
+// Refresh starts workers for the engines that this VM now owns according to its leases and the roster, and
+// stops the workers of all others.
 func (s *Service) Refresh() {
 	view := s.cfg.Roster.View()
 	s.mu.Lock()
@@ -178,13 +180,13 @@
 	}
 }
 
-// holdsLease reports whether this VM holds the lease, by its last event. s.mu is held.
+// holdsLease reports whether this VM holds the lease according to the last lease event. s.mu must be held.
 func (s *Service) holdsLease(name string) bool {
 	_, ok := s.leases[name]
 	return ok
 }
 
-// startWorker starts work for an engine. s.mu is held.
+// startWorker starts the worker of an engine. s.mu must be held.
 func (s *Service) startWorker(e roster.Endpoint, leaseName string, spec Spec) {
 	w := newWorker(s, e, leaseName, spec)
 	w.ordersFrom = s.leases[leaseName]
@@ -193,7 +195,7 @@
 	w.cancel = cancel
 	s.workers[e.Incarnation] = w
 	go w.run(ctx)
-	s.cfg.Log.WithFields(logrus.Fields{"event": "engine_taken", "endpoint": e.ID, "lease": leaseName}).Info()
+	s.cfg.Log.WithFields(logrus.Fields{"event": "engine_taken", "endpoint": e.ID, "lease": leaseName}).Info("started sending orders to the engine")
 }
 
 func (s *Service) worker(id roster.Incarnation) *worker {
@@ -202,7 +204,7 @@
 	return s.workers[id]
 }
 
-// Acquire lets a request through to an engine.
+// Acquire grants a permit for a request on an engine that this VM owns. It is an RPC method.
 func (s *Service) Acquire(args *AcquireArgs, reply *AcquireReply) error {
 	s.applyUpdates(args.Incarnation, args.Ended)
 	w := s.worker(roster.Incarnation{ID: args.Endpoint, Started: args.Started})
@@ -219,7 +221,7 @@
 	return nil
 }
 
-// Report takes in notices.
+// Report applies updates to permits. It is an RPC method.
 func (s *Service) Report(args *ReportArgs, _ *ReportReply) error {
 	s.applyUpdates(args.Incarnation, args.Notices)
 	return nil
@@ -247,10 +249,10 @@
 	}
 }
 
-// retirementPeriod is how long what is known of an engine is kept for the VM that orders it next.
+// retirementPeriod is how long the state of an engine is kept for its next owner after this VM has lost it.
 const retirementPeriod = 10 * time.Second
 
-// retire keeps the worker of an engine that this VM no longer orders. s.mu is held.
+// retire keeps the worker of an engine that this VM no longer owns. s.mu must be held.
 func (s *Service) retire(id roster.Incarnation, w *worker) {
 	s.retired[id] = w
 	time.AfterFunc(retirementPeriod, func() {
@@ -262,7 +264,8 @@
 	})
 }
 
-// Tell tells the VM that orders an engine now what this one knows of it.
+// Tell returns what this VM knows of an engine that it owns, or owned until recently. The engine's next owner
+// calls it as an RPC method.
 func (s *Service) Tell(args *HandoverArgs, reply *HandoverReply) error {
 	s.mu.Lock()
 	id := roster.Incarnation{ID: args.Endpoint, Started: args.Started}
@@ -281,27 +284,29 @@
 	return nil
 }
 
-// EngineState is what a VM knows of an engine that it gives orders to.
+// EngineState is the state of an engine as its owner knows it.
 type EngineState struct {
 	Endpoint string `json:"endpoint"`
 	Started  int64  `json:"started"`
 	Lease    string `json:"lease"`
 	Ready    bool   `json:"ready"`
 	Down     bool   `json:"down"`
-	// Held, InUse, Loading and Wanted count adapters.
+	// Held, InUse, Loading and Wanted count adapters: those held by the engine, those in use by requests,
+	// those being loaded, and those that requests are waiting for.
 	Held    int `json:"held"`
 	InUse   int `json:"in_use"`
 	Loading int `json:"loading"`
 	Wanted  int `json:"wanted"`
-	// LoadTime is the time that a load takes, TokenTime that of a token of a prompt.
+	// LoadTime is the expected time of a cold load, and TokenTime that of processing one prompt token.
 	LoadTime  string `json:"load_time"`
 	TokenTime string `json:"token_time"`
-	// Requests are those that were let through, Unread the tokens of their prompts that are to be read.
+	// Requests is the number of permits in force, and Unread the number of prompt tokens yet to be processed
+	// for them.
 	Requests int `json:"requests"`
 	Unread   int `json:"unread"`
 }
 
-// State returns what this VM knows of the engines that it gives orders to, by endpoint.
+// State returns the state of the engines that this VM owns, sorted by endpoint.
 func (s *Service) State() []EngineState {
 	s.mu.Lock()
 	workers := slices.Collect(maps.Values(s.workers))
--- a/pkg/orders/worker.go
+++ b/pkg/orders/worker.go
@@ -16,33 +16,34 @@
 )
 
 const (
-	// timeoutRoundTrips is the number of average round trips after which an order counts as lost. minTimeout and
-	// maxTimeout bound that time, which doubles with each loss in a row.
+	// A call to an engine is given up after timeoutRoundTrips average round trips, but not before minTimeout.
+	// The time doubles with each consecutive call that gets no response, up to maxTimeout.
 	timeoutRoundTrips = 6
 	minTimeout        = 30 * time.Millisecond
 	maxTimeout        = 250 * time.Millisecond
-	// initialRoundTrip is the round trip assumed before one was seen; roundTripWeight is the weight of a new one.
+	// initialRoundTrip is the round trip time assumed before any has been measured, and roundTripWeight the
+	// weight of a new measurement in the moving average.
 	initialRoundTrip = 5 * time.Millisecond
 	roundTripWeight  = 0.1
-	// minBackoff is how long an engine that cannot be reached is left alone; it doubles up to
-	// maxBackoff.
+	// minBackoff is how long no call is made to an engine that could not be reached. The time doubles with
+	// each further failure, up to maxBackoff.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = time.Second
-	// idleInterval is how often permits are looked through for those that must have ended.
+	// idleInterval is the longest time between two checks for expired permits.
 	idleInterval = time.Second
-	// leaseCheckInterval is the time between two looks at a lease that does not hold.
+	// leaseCheckInterval is the time between two checks of a lease that is not held.
 	leaseCheckInterval = 50 * time.Millisecond
 )
 
-// worker gives one engine its orders while this VM holds its lease.
+// worker sends orders to one engine while this VM owns it.
 type worker struct {
 	service  *Service
 	endpoint roster.Endpoint
 	model    string
 	lease    string
-	// previousOwner is the VM that gave the engine its orders before, empty if there was none.
+	// previousOwner is the VM that owned the engine before, or empty if there was none.
 	previousOwner string
-	// ordersFrom is when orders may be given.
+	// ordersFrom is the time from which orders may be sent.
 	ordersFrom time.Time
 	wake       chan struct{}
 	cancel     context.CancelFunc
@@ -53,17 +54,17 @@
 	planner *residency.Planner
 	load    engineLoad
 	waiters map[residency.Key][]*waiter
-	// cancelled are permits that have ended before they were granted, with the time until when that is
-	// remembered.
+	// cancelled maps permits that ended before they were granted to the time until which they are remembered.
 	cancelled map[permitKey]time.Time
-	// loggedAt is when the state of the engine was logged last.
+	// loggedAt is when the engine's state was last logged.
 	loggedAt    time.Time
 	roundTrip   time.Duration
 	lossesInRow int
-	// handover are what the VM before has told, until the books are synced.
+	// handover is what the previous owner has sent. It is nil once applied to the planner, or if there is
+	// none.
 	handover *residency.Handover
-	// backoff is how long the engine is left alone after the next failure to reach it; downUntil is when
-	// it is tried next, zero while it can be reached.
+	// backoff is the last delay between two attempts to reach the engine. downUntil is the time of the next
+	// attempt, or zero while the engine can be reached.
 	backoff   time.Duration
 	downUntil time.Time
 }
@@ -71,8 +72,8 @@
 // waiter is a request that waits for an adapter.
 type waiter struct {
 	args  *AcquireArgs
-	begun time.Time
-	// reply receives the answer; it has room for one.
+	start time.Time
+	// reply receives the reply. It is buffered for one value, so that sending never blocks.
 	reply chan AcquireReply
 	done  bool
 }
@@ -96,7 +97,7 @@
 	}
 }
 
-// signal makes the work loop look again.
+// signal wakes the worker's loop.
 func (w *worker) signal() {
 	select {
 	case w.wake <- struct{}{}:
@@ -104,7 +105,7 @@
 	}
 }
 
-// run gives orders until ctx ends.
+// run sends orders until ctx is cancelled.
 func (w *worker) run(ctx context.Context) {
 	w.fetchHandover(ctx)
 	for ctx.Err() == nil {
@@ -122,8 +123,8 @@
 	}
 }
 
-// nextAction returns the call to make now, or when to look again. While the engine cannot be reached nobody waits
-// for it, so it is tried by reading its report. w.mu is held.
+// nextAction returns the call to make now, or the time at which to check again. While the engine cannot be
+// reached, no request waits for it, so reading its report is used as the probe. w.mu must be held.
 func (w *worker) nextAction(now time.Time) (residency.Action, bool, time.Time) {
 	if !w.downUntil.IsZero() {
 		return residency.Action{Kind: residency.Report}, !now.Before(w.downUntil), w.downUntil
@@ -135,7 +136,7 @@
 	return action, ok, due
 }
 
-// logState logs the state of the engine once in a while. w.mu is held.
+// logState logs the engine's state, at most once in idleInterval. w.mu must be held.
 func (w *worker) logState(now time.Time) {
 	if now.Sub(w.loggedAt) < idleInterval {
 		return
@@ -146,7 +147,7 @@
 		"event": "engine_state", "endpoint": s.Endpoint, "held": s.Held, "in_use": s.InUse,
 		"loading": s.Loading, "wanted": s.Wanted, "load_time": s.LoadTime, "requests": s.Requests,
 		"unread": s.Unread, "token_time": s.TokenTime, "ready": s.Ready, "down": s.Down,
-	}).Debug()
+	}).Debug("engine state")
 }
 
 func (w *worker) state() EngineState {
@@ -155,7 +156,7 @@
 	return w.stateLocked()
 }
 
-// stateLocked returns what is known of the engine. w.mu is held.
+// stateLocked returns the engine's state. w.mu must be held.
 func (w *worker) stateLocked() EngineState {
 	sum := w.planner.Summary()
 	return EngineState{
@@ -181,12 +182,12 @@
 	}
 }
 
-// handoverTimeout bounds the call to the VM that gave the orders before. It is lost with that VM; the engine
-// waits for orders meanwhile.
+// handoverTimeout limits the call to the previous owner. The call fails if that VM has failed, and the engine
+// gets no orders until it ends.
 const handoverTimeout = 60 * time.Millisecond
 
-// fetchHandover asks the VM that gave the engine its orders before how its adapters were used, so that those in
-// use are not evicted.
+// fetchHandover asks the engine's previous owner how adapters were used, so that recently used ones are not
+// evicted.
 func (w *worker) fetchHandover(ctx context.Context) {
 	if w.previousOwner == "" {
 		return
@@ -202,7 +203,7 @@
 	w.service.cfg.Log.WithFields(logrus.Fields{
 		"event": "engine_told", "endpoint": w.endpoint.ID, "by": w.previousOwner, "known": reply.Known,
 		"adapters": len(reply.Habits.Uses), "error": err,
-	}).Info()
+	}).Info("asked the previous owner for the state of the engine")
 	if err == nil && reply.Known {
 		w.mu.Lock()
 		w.handover = &reply.Habits
@@ -210,15 +211,15 @@
 	}
 }
 
-// execute makes one call to the engine. The lease is checked last before an order is given.
+// execute makes one call to the engine. The lease is checked immediately before an order is sent.
 func (w *worker) execute(ctx context.Context, a residency.Action) {
 	target := upstream.Target{ID: w.endpoint.ID, Started: w.endpoint.Started, Address: w.endpoint.Address}
 	ctx, cancel := context.WithTimeout(ctx, w.timeout())
 	defer cancel()
-	begun := time.Now()
+	start := time.Now()
 	if a.Kind == residency.Report {
 		report, err := w.service.cfg.Engines.Report(ctx, target)
-		w.recordCall(begun, err)
+		w.recordCall(start, err)
 		w.handleReport(a, report, err)
 		return
 	}
@@ -234,25 +235,25 @@
 		Adapter:  a.Adapter,
 		Evict:    a.Kind == residency.Evict || a.Kind == residency.ConfirmEvict,
 	})
-	w.recordCall(begun, err)
+	w.recordCall(start, err)
 	w.handleReply(a, reply, err)
 }
 
-// timeout returns the time after which a call counts as lost.
+// timeout returns the time after which a call is given up.
 func (w *worker) timeout() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return min(max(timeoutRoundTrips*w.roundTrip, minTimeout)<<min(w.lossesInRow, 4), maxTimeout)
 }
 
-// recordCall takes in the outcome of a call that began at begun.
-func (w *worker) recordCall(begun time.Time, err error) {
+// recordCall updates the round trip time and the backoff with the outcome of a call that began at start.
+func (w *worker) recordCall(start time.Time, err error) {
 	now := time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
 	case err == nil:
-		w.roundTrip += time.Duration(roundTripWeight * float64(now.Sub(begun)-w.roundTrip))
+		w.roundTrip += time.Duration(roundTripWeight * float64(now.Sub(start)-w.roundTrip))
 		w.lossesInRow, w.backoff, w.downUntil = 0, 0, time.Time{}
 	case errors.Is(err, engine.ErrNotSent):
 		w.backoff = min(max(2*w.backoff, minBackoff), maxBackoff)
@@ -263,7 +264,7 @@
 	}
 }
 
-// rejectWaiters ends all waits, because the engine cannot be reached. w.mu is held.
+// rejectWaiters ends all waits because the engine cannot be reached. w.mu must be held.
 func (w *worker) rejectWaiters() {
 	for key, list := range w.waiters {
 		for _, wt := range list {
@@ -281,7 +282,7 @@
 	defer w.mu.Unlock()
 	if err != nil {
 		w.planner.HandleLost(a, now)
-		w.service.cfg.Log.WithError(err).WithFields(logrus.Fields{"event": "report_failed", "endpoint": w.endpoint.ID}).Warn()
+		w.service.cfg.Log.WithError(err).WithFields(logrus.Fields{"event": "report_failed", "endpoint": w.endpoint.ID}).Warn("reading the report of the engine failed")
 		return
 	}
 	w.planner.Sync(report, now)
@@ -292,7 +293,7 @@
 	w.service.cfg.Log.WithFields(logrus.Fields{
 		"event": "books_synced", "endpoint": w.endpoint.ID, "accepted": report.Accepted,
 		"held": len(report.Loaded), "pending": len(report.Pending),
-	}).Info()
+	}).Info("applied the report of the engine")
 	w.serveWaiters(now)
 }
 
@@ -309,14 +310,14 @@
 	case err == nil:
 		w.planner.HandleReply(a, reply, now)
 		if a.Kind != residency.ConfirmLoad || reply != engine.Accepted {
-			entry.WithField("reply", reply.String()).Debug()
+			entry.WithField("reply", reply.String()).Debug("engine replied to an order")
 		}
 	case errors.Is(err, engine.ErrNotSent):
 		w.planner.HandleNotSent(a, now)
-		entry.WithError(err).Warn()
+		entry.WithError(err).Warn("order did not reach the engine")
 	default:
 		w.planner.HandleLost(a, now)
-		entry.WithError(err).Warn()
+		entry.WithError(err).Warn("order failed, outcome unknown")
 	}
 	if a.Kind == residency.Evict && reply == engine.Holds {
 		w.load.cache.removeAdapter(a.Adapter.Name)
@@ -324,7 +325,7 @@
 	w.serveWaiters(now)
 }
 
-// serveWaiters lets the requests through whose adapter can be used now. w.mu is held.
+// serveWaiters grants permits to the waiting requests whose adapters have become usable. w.mu must be held.
 func (w *worker) serveWaiters(now time.Time) {
 	for key, list := range w.waiters {
 		if !w.planner.Usable(key) && (key.Name != "" || !w.planner.Ready()) {
@@ -337,21 +338,21 @@
 			if !ok {
 				reply = AcquireReply{Status: Waiting}
 			}
-			reply.Waited = now.Sub(wt.begun)
+			reply.Waited = now.Sub(wt.start)
 			wt.done = true
 			wt.reply <- reply
 		}
 	}
 }
 
-// cancelPermit remembers that a permit has ended before it was granted.
+// cancelPermit remembers that a permit ended before it was granted, so that it is not granted later.
 func (w *worker) cancelPermit(key permitKey, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cancelled[key] = now.Add(2 * MaxWait)
 }
 
-// expirePermits drops the permits whose requests must have ended. w.mu is held.
+// expirePermits removes the permits whose requests must have ended. w.mu must be held.
 func (w *worker) expirePermits(now time.Time) {
 	for key, until := range w.cancelled {
 		if now.After(until) {
@@ -363,16 +364,16 @@
 	}
 }
 
-// remove ends a permit. w.mu is held.
+// endPermit removes a permit and releases its adapter. w.mu must be held.
 func (w *worker) endPermit(key permitKey, now time.Time) {
 	if p := w.load.remove(key); p != nil && p.adapter != "" {
 		w.planner.Release(residency.Key{Model: w.model, Name: p.adapter}, now)
 	}
 }
 
-// acquire lets a request through, at once or once its adapter is loaded.
+// acquire grants a permit, either at once or after a wait for the adapter.
 func (w *worker) acquire(ctx context.Context, args *AcquireArgs) AcquireReply {
-	begun := time.Now()
+	start := time.Now()
 	key := residency.Key{Model: args.Model, Name: args.Adapter}
 	w.mu.Lock()
 	if !w.downUntil.IsZero() {
@@ -380,29 +381,29 @@
 		return AcquireReply{Status: Down}
 	}
 	if args.Prefetch {
-		w.prefetch(key, begun)
+		w.prefetch(key, start)
 		w.mu.Unlock()
 		return AcquireReply{Status: Offered}
 	}
-	estimate, delay := w.estimate(args), w.adapterDelay(args, key, begun)
+	estimate, delay := w.estimate(args), w.adapterDelay(args, key, start)
 	if estimate > args.Bound || delay > args.LoadBound {
 		own := w.load.idleEstimate(w.unread(args))
 		w.mu.Unlock()
 		return AcquireReply{Status: Offered, Estimate: estimate, Own: own, Delay: delay}
 	}
-	if reply, ok := w.grant(args, key, begun); ok {
+	if reply, ok := w.grant(args, key, start); ok {
 		w.mu.Unlock()
 		return reply
 	}
-	wt := &waiter{args: args, begun: begun, reply: make(chan AcquireReply, 1)}
+	wt := &waiter{args: args, start: start, reply: make(chan AcquireReply, 1)}
 	w.waiters[key] = append(w.waiters[key], wt)
-	w.planner.AddWaiter(key, args.Urgency, begun)
+	w.planner.AddWaiter(key, args.Urgency, start)
 	w.mu.Unlock()
 	w.signal()
 	return w.await(ctx, wt, key)
 }
 
-// await waits until the adapter can be used, at most for MaxWait.
+// await waits until the adapter is usable, for MaxWait at most.
 func (w *worker) await(ctx context.Context, wt *waiter, key residency.Key) AcquireReply {
 	timer := time.NewTimer(min(wt.args.Left, MaxWait))
 	defer timer.Stop()
@@ -415,7 +416,7 @@
 	return w.abandonWait(wt, key)
 }
 
-// adapterDelay returns how long a request would have to wait for its adapter. w.mu is held.
+// adapterDelay returns the expected wait of a request for its adapter. w.mu must be held.
 func (w *worker) adapterDelay(args *AcquireArgs, key residency.Key, now time.Time) time.Duration {
 	if args.Adapter == "" && w.planner.Ready() {
 		return 0
@@ -424,13 +425,14 @@
 }
 
 const (
-	// prefetchUrgency ranks loads that no request waits for behind all others.
+	// prefetchUrgency ranks prefetches behind all loads that requests wait for.
 	prefetchUrgency = 100
-	// prefetchLifetime is how long such a load stays wanted.
+	// prefetchLifetime is how long the planner tries to load a prefetched adapter.
 	prefetchLifetime = 500 * time.Millisecond
 )
 
-// prefetch asks for an adapter that is likely to be needed, unless others are waited for. w.mu is held.
+// prefetch requests the load of an adapter that is likely to be needed soon, unless requests are waiting for
+// others. w.mu must be held.
 func (w *worker) prefetch(key residency.Key, now time.Time) {
 	if !w.planner.Ready() || w.planner.Usable(key) || len(w.waiters) > 0 {
 		return
@@ -444,17 +446,17 @@
 	w.signal()
 }
 
-// estimate returns the expected time to the first token of a request. w.mu is held.
+// estimate returns the expected time to the first token of a request. w.mu must be held.
 func (w *worker) estimate(args *AcquireArgs) time.Duration {
 	return w.load.estimate(w.unread(args))
 }
 
-// unread returns the tokens of a request's prompt that the engine has to read. w.mu is held.
+// unread returns the number of a request's prompt tokens that the engine has to process. w.mu must be held.
 func (w *worker) unread(args *AcquireArgs) int {
 	return w.load.cache.unread(args.Adapter, args.Prompt, args.Tokens)
 }
 
-// grant notes a permit if the adapter can be used now. w.mu is held.
+// grant grants a permit if the adapter is usable now. w.mu must be held.
 func (w *worker) grant(args *AcquireArgs, key residency.Key, now time.Time) (AcquireReply, bool) {
 	unread := w.unread(args)
 	reply := AcquireReply{Status: Granted, Estimate: w.load.estimate(unread)}
@@ -473,7 +475,7 @@
 	return reply, true
 }
 
-// abandonWait takes a waiter out and returns the answer that it gets.
+// abandonWait removes a waiter and returns the reply to its caller.
 func (w *worker) abandonWait(wt *waiter, key residency.Key) AcquireReply {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -487,10 +489,10 @@
 		delete(w.waiters, key)
 	}
 	now := time.Now()
-	return AcquireReply{Status: Waiting, Waited: now.Sub(wt.begun), Delay: w.planner.Delay(key, now)}
+	return AcquireReply{Status: Waiting, Waited: now.Sub(wt.start), Delay: w.planner.Delay(key, now)}
 }
 
-// applyUpdate takes in what has become of a permit.
+// applyUpdate applies an update to a permit. It reports whether the permit is known.
 func (w *worker) applyUpdate(incarnation string, n Notice) bool {
 	now := time.Now()
 	key := permitKey{incarnation, n.Permit}
