--- a/pkg/engine/engine.go
+++ b/pkg/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine declares the orders that model engines take, and the reports that they give of
-// themselves. An engine takes orders one after the other and counts those that it accepts.
+// Package engine defines the orders that model engines accept to load and evict adapters, and the reports
+// that engines make of their state. An engine handles orders one at a time and counts those that it accepts.
 package engine
 
 import (
@@ -11,36 +11,36 @@
 	"github.com/mallowlink/mallowlink/pkg/upstream"
 )
 
-// ErrUnknown says that an order got no answer: the engine may have accepted it, or may carry it out
-// seconds later if its condition still holds.
-var ErrUnknown = errors.New("engine: outcome of the order unknown")
+// ErrUnknown is returned if an order got no response: the engine may have accepted it, or may still carry it
+// out seconds later if its condition holds by then.
+var ErrUnknown = errors.New("engine: outcome of the call unknown")
 
-// ErrNotSent says that an order, or the request for a report, has not reached the engine.
-var ErrNotSent = errors.New("engine: not reached")
+// ErrNotSent is returned if an order, or the request for a report, did not reach the engine.
+var ErrNotSent = errors.New("engine: could not be reached")
 
 // Reply is an engine's reply to an order.
 type Reply int
 
 // Replies to orders.
 const (
-	// Accepted says that the engine carries the order out. It has counted it.
+	// Accepted means that the engine has counted the order and is carrying it out.
 	Accepted Reply = iota
-	// Holds says that what the order asks for is so already.
+	// Holds means that the engine is already in the state that the order asks for.
 	Holds
-	// Conflict says that the engine's count is not the one expected, or that it carries out another
-	// order that excludes this one.
+	// Conflict means that the engine's order count is not the expected one, or that the engine is carrying
+	// out another order that excludes this one.
 	Conflict
-	// Fenced says that the order's fencing number is too old.
+	// Fenced means that the order's fencing number is out of date.
 	Fenced
-	// Gone says that another process answers at the address.
+	// Gone means that another process than the intended one responds at the address.
 	Gone
-	// Invalid says that the engine cannot carry the order out.
+	// Invalid means that the engine cannot carry out the order.
 	Invalid
-	// Busy says that the engine turned the order away; nothing was done.
+	// Busy means that the engine rejected the order for now and has done nothing.
 	Busy
 )
 
-// String names the reply.
+// String returns the name of the reply as it is logged.
 func (r Reply) String() string {
 	names := [...]string{"accepted", "holds", "conflict", "fenced", "gone", "invalid", "busy"}
 	if int(r) < len(names) {
@@ -49,36 +49,36 @@
 	return "unknown"
 }
 
-// Order asks an engine to load or to evict an adapter.
+// Order tells an engine to load or to evict an adapter.
 type Order struct {
-	// Holder and Fencing are those of the lease that gives the right to the order.
+	// Holder and Fencing are the holder and the fencing number of the lease under which the order is sent.
 	Holder  string
 	Fencing uint64
-	// Expected is the count of accepted orders that the engine must have for this one to be accepted.
+	// Expected is the number of orders that the engine must have accepted so far for it to accept this one.
 	Expected int64
-	// Adapter is the adapter; without a name, its base model is meant. Of version 0, the newest version
-	// is loaded.
+	// Adapter is the adapter to load or evict. An adapter without a name stands for the base model. Version 0
+	// stands for the newest version.
 	Adapter roster.Adapter
-	// Evict says that the adapter is to be unloaded.
+	// Evict is set if the adapter is to be unloaded.
 	Evict bool
 }
 
-// Report is what an engine says of itself. It is some hundred milliseconds old.
+// Report is an engine's report of its state. It is some hundred milliseconds old when it is read.
 type Report struct {
 	roster.Incarnation
-	// Accepted is the count of accepted orders.
+	// Accepted is the number of orders accepted so far.
 	Accepted int64
-	// Models are the base models held.
+	// Models lists the base models that the engine holds.
 	Models []string
-	// Loaded are the adapters held, Pending those on their way.
+	// Loaded lists the adapters that the engine holds, and Pending those being loaded.
 	Loaded, Pending []roster.Adapter
-	// Queued and Running are the requests at the engine.
+	// Queued and Running count the requests at the engine.
 	Queued, Running int
 }
 
-// Engines gives orders to engines and reads their reports.
+// Engines sends orders to engines and reads their reports.
 type Engines interface {
-	// Order gives one order. It fails with ErrNotSent or ErrUnknown.
+	// Order sends one order. It fails with ErrNotSent or ErrUnknown.
 	Order(ctx context.Context, target upstream.Target, order Order) (Reply, error)
 	// Report reads an engine's report. It fails with ErrNotSent or ErrUnknown.
 	Report(ctx context.Context, target upstream.Target) (Report, error)
