--- a/pkg/orders/message.go
+++ b/pkg/orders/message.go
@@ -124,7 +124,8 @@
 // HandoverReply is the reply to HandoverArgs.
 type HandoverReply struct {
 	// Known is set if the VM has read a report of the engine, so that Habits is meaningful.
-	Known  bool
+	Known bool
+	// Habits describes how the adapters were used, which the engine's own report does not show.
 	Habits residency.Handover
 }
 
--- a/pkg/orders/service.go
+++ b/pkg/orders/service.go
@@ -125,12 +125,13 @@
 	s.Refresh()
 }
 
-// orderGapMargin is added to Config.Turns to allow for orders that are still on their way to the engine.
+// orderGapMargin is added to the configured minimum gap between orders, to allow for orders that are still on
+// their way to the engine.
 const orderGapMargin = 100 * time.Millisecond
 
 // earliestOrder returns the time from which this VM may send orders under a lease that it has gained. If it
-// held the lease earlier and another VM held it in between, its new orders must be at least Config.Turns
-// later than its old ones. s.mu must be held.
+// held the lease earlier and another VM held it in between, there must be a minimum gap between
+// its old orders and its new ones. s.mu must be held.
 func (s *Service) earliestOrder(grant lease.Grant) time.Time {
 	if len(grant.Recent) == 0 || grant.Recent[0] == s.cfg.Self || !slices.Contains(grant.Recent, s.cfg.Self) {
 		return time.Time{}
--- a/pkg/orders/worker.go
+++ b/pkg/orders/worker.go
@@ -57,9 +57,9 @@
 	// cancelled maps permits that ended before they were granted to the time until which they are remembered.
 	cancelled map[permitKey]time.Time
 	// loggedAt is when the engine's state was last logged.
-	loggedAt    time.Time
-	roundTrip   time.Duration
-	lossesInRow int
+	loggedAt          time.Time
+	roundTrip         time.Duration
+	consecutiveLosses int
 	// handover is what the previous owner has sent. It is nil once applied to the planner, or if there is
 	// none.
 	handover *residency.Handover
@@ -71,8 +71,8 @@
 
 // waiter is a request that waits for an adapter.
 type waiter struct {
-	args  *AcquireArgs
-	start time.Time
+	args      *AcquireArgs
+	startedAt time.Time
 	// reply receives the reply. It is buffered for one value, so that sending never blocks.
 	reply chan AcquireReply
 	done  bool
@@ -243,7 +243,7 @@
 func (w *worker) timeout() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return min(max(timeoutRoundTrips*w.roundTrip, minTimeout)<<min(w.lossesInRow, 4), maxTimeout)
+	return min(max(timeoutRoundTrips*w.roundTrip, minTimeout)<<min(w.consecutiveLosses, 4), maxTimeout)
 }
 
 // recordCall updates the round trip time and the backoff with the outcome of a call that began at start.
@@ -254,13 +254,13 @@
 	switch {
 	case err == nil:
 		w.roundTrip += time.Duration(roundTripWeight * float64(now.Sub(start)-w.roundTrip))
-		w.lossesInRow, w.backoff, w.downUntil = 0, 0, time.Time{}
+		w.consecutiveLosses, w.backoff, w.downUntil = 0, 0, time.Time{}
 	case errors.Is(err, engine.ErrNotSent):
 		w.backoff = min(max(2*w.backoff, minBackoff), maxBackoff)
 		w.downUntil = now.Add(w.backoff)
 		w.rejectWaiters()
 	default:
-		w.lossesInRow++
+		w.consecutiveLosses++
 	}
 }
 
@@ -338,7 +338,7 @@
 			if !ok {
 				reply = AcquireReply{Status: Waiting}
 			}
-			reply.Waited = now.Sub(wt.start)
+			reply.Waited = now.Sub(wt.startedAt)
 			wt.done = true
 			wt.reply <- reply
 		}
@@ -395,7 +395,7 @@
 		w.mu.Unlock()
 		return reply
 	}
-	wt := &waiter{args: args, start: start, reply: make(chan AcquireReply, 1)}
+	wt := &waiter{args: args, startedAt: start, reply: make(chan AcquireReply, 1)}
 	w.waiters[key] = append(w.waiters[key], wt)
 	w.planner.AddWaiter(key, args.Urgency, start)
 	w.mu.Unlock()
@@ -489,7 +489,7 @@
 		delete(w.waiters, key)
 	}
 	now := time.Now()
-	return AcquireReply{Status: Waiting, Waited: now.Sub(wt.start), Delay: w.planner.Delay(key, now)}
+	return AcquireReply{Status: Waiting, Waited: now.Sub(wt.startedAt), Delay: w.planner.Delay(key, now)}
 }
 
 // applyUpdate applies an update to a permit. It reports whether the permit is known.
--- a/pkg/residency/actions.go
+++ b/pkg/residency/actions.go
@@ -283,9 +283,9 @@
 	return time.Duration(firstPollShare * float64(expected))
 }
 
-// countAcceptedOnce records that the engine has accepted an order that got no reply, its repetition, or both.
-// If both name the same count, the engine can have accepted only one of them, and its count is one higher.
-// Otherwise the count is uncertain.
+// countAcceptedOnce records that the engine has accepted either an order that got no reply or its repetition.
+// If both name the same count, the engine's count is now one higher than that. Otherwise it is uncertain which
+// of the two was counted, and the engine's count may be one higher than the planner's.
 func (p *Planner) countAcceptedOnce(repeated Action, s *slot) {
 	if repeated.Expected == s.expectedCount {
 		p.countAccepted(repeated)
