--- a/pkg/orders/message.go
+++ b/pkg/orders/message.go
@@ -96,7 +96,7 @@
 	Delay  time.Duration
 }
 
-// Notice is an update to a permit.
+// Notice reports to the owner of an engine that the request of a permit has started or ended.
 type Notice struct {
 	Permit uint64
 	// Started is set if the first token has arrived, and First is the time that it took.
