--- a/pkg/allowance/account.go
+++ b/pkg/allowance/account.go
@@ -6,303 +6,314 @@
 )
 
 const (
-	// tokenLife is how long after its request was sent a VM may spend what it was given. It outlasts the
-	// takeover of an account's home.
-	tokenLife = 5 * time.Second
-	// tokenMargin is what the home waits on top, for clocks that drift apart.
-	tokenMargin = 200 * time.Millisecond
-	// scarceShare is the part of what may be lent below which VMs get no more than they need.
+	// tokenTTL is how long a VM may spend the tokens it was lent, counted from when it sent the request
+	// for them. It is longer than it takes another VM to become the home of the account.
+	tokenTTL = 5 * time.Second
+	// clockDriftMargin is how much longer than tokenTTL the home counts tokens as held, because clocks
+	// drift apart.
+	clockDriftMargin = 200 * time.Millisecond
+	// scarceShare is the share of the lendable tokens below which the remaining ones are scarce: VMs are
+	// then lent no more than they need.
 	scarceShare = 0.3
-	// spareParts is the number of parts of the room of which one VM may take one beyond its need.
-	spareParts = 4
-	// minRetry and maxRetry bound the time after which a refused caller should come back.
-	minRetry = 50 * time.Millisecond
-	maxRetry = 10 * time.Second
+	// spareDivisor limits what one VM is lent beyond its need: to the tokens that then remain, divided by it.
+	spareDivisor = 4
+	// minRetryAfter and maxRetryAfter bound the time after which a refused caller is asked to retry.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 10 * time.Second
 )
 
-// Request tells an account's home what a VM has spent, and asks for tokens.
+// Request reports to the home of an account what a VM has spent and holds, and requests tokens. As the reply to
+// Service.Tell it is the report alone.
 type Request struct {
 	Account     string
 	VM          string
 	Incarnation string
-	// Seq numbers what the process has told of the account. What arrives after something newer is old.
+	// Seq numbers the reports of the process on the account. A report with a lower number than one that
+	// the home has received already is outdated.
 	Seq uint64
-	// Spent is what the VM has spent in each bin of the window, the newest first.
+	// Spent is what the process has spent in each bin of the window, the newest first.
 	Spent []int64
-	// Covers is the span that Spent covers: not more than the process has run. What an earlier process
-	// on the VM has spent is not known.
+	// Covers is the time that Spent covers. It is no longer than the process has run, because the process
+	// does not know what an earlier one on the VM has spent.
 	Covers time.Duration
-	// Held is what it has and may still spend.
+	// Held is the number of tokens that the process may still spend.
 	Held int64
-	// Want is the tokens asked for, Need the least that is of use.
+	// Want is the number of tokens requested. Need, which is part of it, is the smallest number that is of
+	// use.
 	Want, Need int64
 }
 
-// Reply is the home's answer.
+// Reply is the reply of the home to a Request.
 type Reply struct {
-	// NotHome says that the called VM is not the account's home.
+	// NotHome reports that the called VM is not the home of the account.
 	NotHome bool
-	Tokens  int64
-	// Excess says that the account is beyond its limit, within what is tolerated.
+	// Tokens is the number of tokens lent.
+	Tokens int64
+	// Excess reports that the account is over its limit, within what is tolerated.
 	Excess bool
-	// RetryAfter is when Need tokens will be there, if Tokens is less.
+	// RetryAfter is the time until Need tokens will be available, if Tokens is less.
 	RetryAfter time.Duration
-	// Used are the tokens that count within the window, Lent those that may be handed out within it, and
-	// Absent the share of the VMs that cannot tell what they have spent.
+	// Used is the number of tokens that count within the window, and Lent the most that may be lent within
+	// it. Absent is the share of the VMs that have not reported what they have spent or are unresponsive.
 	Used, Lent float64
 	Absent     float64
 }
 
-// room returns what may still be lent after the reply.
-func (r Reply) room() float64 { return r.Lent - r.Used - float64(r.Tokens) }
+// remaining returns the tokens that may still be lent after the reply.
+func (r Reply) remaining() float64 { return r.Lent - r.Used - float64(r.Tokens) }
 
-// account is what a home knows of one client account. It is not safe for concurrent use.
+// account is the state of one client account at its home. It is not safe for concurrent use.
 type account struct {
 	policy Policy
 	limit  Limit
-	// before is the limit that held until lowered, when the present one was found to be lower. lowered is
-	// zero once the present limit has held for a window.
-	before  Limit
-	lowered time.Time
-	// gained is when this VM became the account's home.
-	gained time.Time
-	// uses are by incarnation.
-	uses map[string]*vmUse
-	// total is the number of VMs.
-	total int
-	// told are the VMs that have told what they have spent since this VM became the home, and since they were
-	// last silent.
-	told map[string]bool
-	// asking are the VMs that are being asked what they have spent.
-	asking map[string]bool
-	// covered maps the VMs that have told to the moment from which on they know what they have spent: earlier
-	// processes on them may have spent more within the window.
-	covered map[string]time.Time
-	// past is what all VMs had spent in each bin by the record of an earlier home, the newest first; nil if
-	// there is no record.
-	past []int64
-	// recorded is when the record was taken, pastHeld what VMs held then.
-	recorded time.Time
-	pastHeld int64
-	// absent is the share of the VMs that cannot tell: each of them goes on at its even share of the
-	// limit, and has done so before.
-	absent float64
-	// silent are the VMs among them that have told before.
-	silent map[string]bool
-	// logged is when the account was last logged to be at its limit.
-	logged time.Time
+	// previousLimit is the limit that was in force until loweredAt, when a lower one replaced it. loweredAt
+	// is zero once the present limit has been in force for a window.
+	previousLimit Limit
+	loweredAt     time.Time
+	// gainedAt is when this VM became the home of the account.
+	gainedAt time.Time
+	// usage is what each process has spent and holds, by incarnation.
+	usage map[string]*processUsage
+	// vmCount is the number of VMs that may spend tokens of the account.
+	vmCount int
+	// reported is the set of VMs that have reported what they have spent, since this VM became the home and
+	// since they were last unresponsive.
+	reported map[string]bool
+	// polling is the set of VMs that are being polled for what they have spent.
+	polling map[string]bool
+	// coveredSince maps each VM that has reported to the time from which on its report is complete. Earlier
+	// processes on the VM may have spent tokens within the window before that.
+	coveredSince map[string]time.Time
+	// recordedBins is what all VMs had spent in each bin by the record of the previous home, the newest
+	// first; nil if there is no record.
+	recordedBins []int64
+	// recordedAt is when the record was made, recordedHeld what all VMs held then.
+	recordedAt   time.Time
+	recordedHeld int64
+	// absentShare is the share of the VMs that have not reported or are unresponsive. Each of them is
+	// assumed to spend its even share of the limit, and to have done so before.
+	absentShare float64
+	// unresponsive is the set of VMs that have not responded for unresponsiveAfter and are not proven gone.
+	unresponsive map[string]bool
+	// lastLogged is when account_scarce was last logged for the account.
+	lastLogged time.Time
 }
 
-// vmUse is what one process has spent and holds.
-type vmUse struct {
+// processUsage is what one process (incarnation) on a VM has spent and holds by its latest report.
+type processUsage struct {
 	vm        string
 	seq       uint64
-	spent     ring
+	spent     slidingWindow
 	held      int64
 	heldUntil time.Time
-	// own is what it had spent and held when it told last: without the home, it may use as much in any window.
-	own int64
+	// committed is what the process had spent within the window plus what it held, after its latest request. It
+	// may spend as much within any window while it cannot reach the home.
+	committed int64
 }
 
-// newAccount returns an account whose tokens n VMs spend, and whose home this VM became at that time.
+// newAccount returns an account whose tokens are spent by n VMs and whose home this VM became at gained.
 func newAccount(p Policy, l Limit, n int, gained time.Time) *account {
 	return &account{
-		policy: p, limit: l, total: n, gained: gained, uses: map[string]*vmUse{},
-		told: map[string]bool{}, asking: map[string]bool{}, covered: map[string]time.Time{}, silent: map[string]bool{},
+		policy: p, limit: l, vmCount: n, gainedAt: gained, usage: map[string]*processUsage{},
+		reported: map[string]bool{}, polling: map[string]bool{}, coveredSince: map[string]time.Time{}, unresponsive: map[string]bool{},
 	}
 }
 
-// setLimit takes in the limit in force. What was spent before a limit was lowered does not count against
-// the lower one.
+// setLimit sets the limit that is now in force. Tokens spent before a limit was lowered do not count against the
+// lower one.
 func (a *account) setLimit(l Limit, now time.Time) {
-	switch before, after := a.policy.within(a.limit), a.policy.within(l); {
+	switch before, after := a.policy.windowLimit(a.limit), a.policy.windowLimit(l); {
 	case after < before:
-		a.before, a.lowered = a.limit, now
-	case after > before, now.Sub(a.lowered) > a.policy.Window+binWidth:
-		a.lowered = time.Time{}
+		a.previousLimit, a.loweredAt = a.limit, now
+	case after > before, now.Sub(a.loweredAt) > a.policy.Window+binWidth:
+		a.loweredAt = time.Time{}
 	}
 	a.limit = l
 }
 
-// standing is how an account stands against a limit.
-type standing struct {
+// limitUsage is the usage of an account compared with one limit.
+type limitUsage struct {
 	limit Limit
-	// used is what counts against the limit, lent what may be handed out under it within a window.
-	used, lent float64
+	// used is the number of tokens that count against the limit, lendable the most that may be lent under it within
+	// a window.
+	used, lendable float64
 }
 
-func (s standing) room() float64 { return s.lent - s.used }
+func (u limitUsage) remaining() float64 { return u.lendable - u.used }
 
-// stands returns how the account stands against the limit that leaves it the least room.
-func (a *account) stands(now time.Time) standing {
-	present := a.against(a.limit, a.lowered, now)
-	if a.lowered.IsZero() {
+// tightestUsage returns the usage compared with the present limit or, shortly after the limit was lowered, with the
+// previous one if fewer tokens remain by that.
+func (a *account) tightestUsage(now time.Time) limitUsage {
+	present := a.usageAgainst(a.limit, a.loweredAt, now)
+	if a.loweredAt.IsZero() {
 		return present
 	}
-	if before := a.against(a.before, time.Time{}, now); before.room() < present.room() {
+	if before := a.usageAgainst(a.previousLimit, time.Time{}, now); before.remaining() < present.remaining() {
 		return before
 	}
 	return present
 }
 
-// against returns how the account stands against a limit that has held since a moment; zero stands for the
-// whole window.
-func (a *account) against(l Limit, since, now time.Time) standing {
-	lent := a.policy.lent(l)
-	even := lent / float64(max(a.total, 1))
-	used := a.absent*lent + a.assumed(l, since, now)
-	for _, u := range a.uses {
-		told := float64(u.spent.sumSince(since, now) + u.mayHaveSpent(a.policy, now))
-		if a.silent[u.vm] {
-			// What it has told leaves the window, but it may go on like that.
-			told = max(told, float64(u.own)-even)
+// usageAgainst returns the usage compared with a limit that has been in force since that time; a zero time stands
+// for the whole window.
+func (a *account) usageAgainst(l Limit, since, now time.Time) limitUsage {
+	lendable := a.policy.lendable(l)
+	evenShare := lendable / float64(max(a.vmCount, 1))
+	used := a.absentShare*lendable + a.assumedUsage(l, since, now)
+	for _, u := range a.usage {
+		counted := float64(u.spent.sumSince(since, now) + u.possiblySpent(a.policy, now))
+		if a.unresponsive[u.vm] {
+			// What it reported leaves the window, but it may have spent as much again since.
+			counted = max(counted, float64(u.committed)-evenShare)
 		}
-		used += told
+		used += counted
 	}
-	return standing{limit: l, used: max(used, a.onRecord(l, since, now)), lent: lent}
+	return limitUsage{limit: l, used: max(used, a.recordedUsage(l, since, now)), lendable: lendable}
 }
 
-// onRecord returns what was spent at least, by the record of the earlier home and what VMs have told since it
-// ended: the even share of VMs that cannot tell may be less than what they had.
-func (a *account) onRecord(l Limit, since, now time.Time) float64 {
+// recordedUsage returns the least that counts as spent while the record of the previous home is needed: what was spent
+// by that record until this VM became the home, and by the reports of the VMs since. Without it, VMs that have not
+// reported would count with no more than their even share, although they may have spent more.
+func (a *account) recordedUsage(l Limit, since, now time.Time) float64 {
 	from := now.Add(-a.policy.Window - binWidth)
 	if since.After(from) {
 		from = since
 	}
-	if !a.goesByRecord() {
+	if !a.needsRecord() {
 		return 0
 	}
-	total := min(a.pastSince(from, a.gained), a.policy.lent(l))
-	if a.gained.After(from) {
-		from = a.gained
+	total := min(a.estimateSpent(from, a.gainedAt), a.policy.lendable(l))
+	if a.gainedAt.After(from) {
+		from = a.gainedAt
 	}
-	for _, u := range a.uses {
+	for _, u := range a.usage {
 		total += float64(u.spent.sumSince(from, now))
 	}
 	return total
 }
 
-// assumed returns what earlier processes on the VMs are taken to have spent within the window, after a
-// moment: each the even share of what all have, by the record of an earlier home. The number of VMs is counted
-// when it is needed, because a home that starts together with all VMs gets to know them one by one.
-func (a *account) assumed(l Limit, since, now time.Time) float64 {
+// assumedUsage returns what earlier processes on the VMs are assumed to have spent within the window after since: each
+// an even share of what all VMs spent by the record of the previous home. The number of VMs is read at each call,
+// because a home that starts together with all VMs discovers them one by one.
+func (a *account) assumedUsage(l Limit, since, now time.Time) float64 {
 	span := a.policy.Window + binWidth
 	from := now.Add(-span)
 	if since.After(from) {
 		from = since
 	}
 	total := 0.0
-	for vm, covered := range a.covered {
+	for vm, covered := range a.coveredSince {
 		if now.Sub(covered) >= span {
-			delete(a.covered, vm)
+			delete(a.coveredSince, vm)
 			continue
 		}
-		total += a.pastSince(from, covered)
+		total += a.estimateSpent(from, covered)
 	}
-	return min(total/float64(max(a.total, len(a.told), 1)), a.policy.lent(l))
+	return min(total/float64(max(a.vmCount, len(a.reported), 1)), a.policy.lendable(l))
 }
 
-// mayHaveSpent returns what the process held when it told last: it may spend that until it has to drop it, and
-// what it has spent so counts for a window after.
-func (u *vmUse) mayHaveSpent(p Policy, now time.Time) int64 {
+// possiblySpent returns what the process held at its latest report. It may spend that until the tokens expire, and
+// tokens spent then count for one more window.
+func (u *processUsage) possiblySpent(p Policy, now time.Time) int64 {
 	if now.After(u.heldUntil.Add(p.Window + binWidth)) {
 		return 0
 	}
 	return u.held
 }
 
-// lapsed reports whether a process's tokens have lapsed since it told last, so that it may have spent less.
-func (a *account) lapsed(incarnation string, now time.Time) bool {
-	u := a.uses[incarnation]
+// tokensExpired reports whether tokens that the process held at its latest report have expired since, so that it may
+// have spent less than is counted.
+func (a *account) tokensExpired(incarnation string, now time.Time) bool {
+	u := a.usage[incarnation]
 	return u != nil && u.held > 0 && now.After(u.heldUntil)
 }
 
-// scarce reports whether little may be lent.
+// scarce reports whether few tokens remain to be lent.
 func (a *account) scarce(now time.Time) bool {
-	stands := a.stands(now)
-	return stands.room() < scarceShare*stands.lent
+	usage := a.tightestUsage(now)
+	return usage.remaining() < scarceShare*usage.lendable
 }
 
-// forget drops the processes that no longer count.
-func (a *account) forget(now time.Time) {
-	for id, u := range a.uses {
-		if u.spent.sum(now) == 0 && u.mayHaveSpent(a.policy, now) == 0 && !a.silent[u.vm] {
-			delete(a.uses, id)
+// discardExpired drops the processes whose usage no longer counts.
+func (a *account) discardExpired(now time.Time) {
+	for id, u := range a.usage {
+		if u.spent.sum(now) == 0 && u.possiblySpent(a.policy, now) == 0 && !a.unresponsive[u.vm] {
+			delete(a.usage, id)
 		}
 	}
 }
 
-// settle takes in what a VM has spent and holds, and answers its request.
+// settle records what a VM has spent and holds, and lends it tokens.
 func (a *account) settle(req Request, now time.Time) Reply {
-	a.forget(now)
-	u := a.learn(req, now)
+	a.discardExpired(now)
+	u := a.recordUsage(req, now)
 	if u == nil {
-		// The VM has told something newer since, and no longer waits for this answer.
+		// The VM has sent a newer report since, and no longer waits for this reply.
 		return Reply{}
 	}
-	stands := a.stands(now)
-	room := int64(math.Floor(stands.room()))
+	usage := a.tightestUsage(now)
+	remaining := int64(math.Floor(usage.remaining()))
 	reply := Reply{
-		Tokens: a.choose(req, room), Excess: stands.used >= a.policy.within(stands.limit),
-		Used: stands.used, Lent: stands.lent, Absent: a.absent,
+		Tokens: a.grantSize(req, remaining), Excess: usage.used >= a.policy.windowLimit(usage.limit),
+		Used: usage.used, Lent: usage.lendable, Absent: a.absentShare,
 	}
 	if reply.Tokens < req.Need {
-		reply.RetryAfter = a.retry(req.Need - room)
+		reply.RetryAfter = a.retryAfter(req.Need - remaining)
 	}
 	u.held += reply.Tokens
-	u.own += reply.Tokens
+	u.committed += reply.Tokens
 	return reply
 }
 
-// learn takes in what a process has spent and holds. It returns nil if something newer is known.
-func (a *account) learn(req Request, now time.Time) *vmUse {
-	if u := a.uses[req.Incarnation]; u != nil && u.seq > req.Seq {
+// recordUsage records what a process has spent and holds. It returns nil if a newer report was recorded before.
+func (a *account) recordUsage(req Request, now time.Time) *processUsage {
+	if u := a.usage[req.Incarnation]; u != nil && u.seq > req.Seq {
 		return nil
 	}
-	if !a.told[req.VM] {
-		a.told[req.VM] = true
-		a.covered[req.VM] = now.Add(-req.Covers)
+	if !a.reported[req.VM] {
+		a.reported[req.VM] = true
+		a.coveredSince[req.VM] = now.Add(-req.Covers)
 	}
-	u := a.uses[req.Incarnation]
+	u := a.usage[req.Incarnation]
 	if u == nil {
-		u = &vmUse{vm: req.VM, spent: newRing(a.policy.Window)}
-		a.uses[req.Incarnation] = u
+		u = &processUsage{vm: req.VM, spent: newSlidingWindow(a.policy.Window)}
+		a.usage[req.Incarnation] = u
 	}
-	u.take(req, now)
+	u.update(req, now)
 	return u
 }
 
-// take replaces what was known of the process.
-func (u *vmUse) take(req Request, now time.Time) {
+// update replaces the usage of the process by a newer report.
+func (u *processUsage) update(req Request, now time.Time) {
 	u.seq = req.Seq
 	u.spent.advance(now)
 	u.spent.start = now
 	clear(u.spent.bins)
 	copy(u.spent.bins, req.Spent)
 	u.held = req.Held
-	u.own = u.spent.sum(now) + u.held
-	u.heldUntil = now.Add(tokenLife + tokenMargin)
+	u.committed = u.spent.sum(now) + u.held
+	u.heldUntil = now.Add(tokenTTL + clockDriftMargin)
 }
 
-// choose returns the tokens to give: what is needed, and what is asked for on top as long as plenty
-// stays for the other VMs.
-func (a *account) choose(req Request, room int64) int64 {
-	if room < req.Need {
+// grantSize returns the number of tokens to lend: what is needed, and part of what is requested beyond that as long
+// as plenty remain for the other VMs.
+func (a *account) grantSize(req Request, remaining int64) int64 {
+	if remaining < req.Need {
 		return 0
 	}
-	spare := room - req.Need
-	if float64(room) < scarceShare*a.policy.lent(a.limit) {
+	spare := remaining - req.Need
+	if float64(remaining) < scarceShare*a.policy.lendable(a.limit) {
 		return req.Need
 	}
-	return req.Need + min(max(req.Want-req.Need, 0), spare/spareParts)
+	return req.Need + min(max(req.Want-req.Need, 0), spare/spareDivisor)
 }
 
-// retry returns when missing tokens will be there: the window frees what was spent at its begin.
-func (a *account) retry(missing int64) time.Duration {
-	perSecond := a.policy.lent(a.limit) / a.policy.Window.Seconds()
+// retryAfter estimates the time until the missing tokens become available, as the oldest spending leaves the window.
+func (a *account) retryAfter(missing int64) time.Duration {
+	perSecond := a.policy.lendable(a.limit) / a.policy.Window.Seconds()
 	if perSecond <= 0 {
-		return maxRetry
+		return maxRetryAfter
 	}
 	d := time.Duration(float64(missing) / perSecond * float64(time.Second))
-	return min(max(d, minRetry), maxRetry)
+	return min(max(d, minRetryAfter), maxRetryAfter)
 }
--- a/pkg/allowance/home.go
+++ b/pkg/allowance/home.go
@@ -22,22 +22,22 @@
 	tellMethod   = ServiceName + ".Tell"
 )
 
-// silentAfter is the silence of a VM after which it may be spending without this home. It is shorter
-// than the life of the tokens that the VM holds.
-const silentAfter = 3 * time.Second
+// unresponsiveAfter is the time without a response from a VM after which the VM counts as unresponsive and may be
+// spending without this home. It is shorter than tokenTTL, the life of the tokens that the VM holds.
+const unresponsiveAfter = 3 * time.Second
 
-// tellPause is the time after which a VM that has not told what it has spent is asked again.
-const tellPause = 100 * time.Millisecond
+// usagePollInterval is the pause before a VM that did not report what it has spent is polled again.
+const usagePollInterval = 100 * time.Millisecond
 
-// Fleet tells the VMs that may have spent tokens.
+// Fleet lists the VMs that may have spent tokens.
 type Fleet interface {
 	Members() []membership.Member
 }
 
-// Limits returns a client account's limit from the configuration in force.
+// Limits returns the limit of a client account from the configuration in force, and whether the account is known.
 type Limits func(account string) (Limit, bool)
 
-// HomeConfig holds what a home works with.
+// HomeConfig holds the settings and dependencies of a Home.
 type HomeConfig struct {
 	Policy Policy
 	Limits Limits
@@ -47,21 +47,21 @@
 	Log    logrus.FieldLogger
 }
 
-// TellArgs asks a VM what it has spent and holds of an account.
+// TellArgs holds the arguments of Service.Tell.
 type TellArgs struct{ Account string }
 
-// Home hands out the tokens of the client accounts whose leases this VM holds. It implements
-// lease.Listener.
+// Home lends the tokens of the client accounts whose leases this VM holds. For each of these accounts this VM is
+// the home: the one VM that decides how many tokens every VM may spend. Home implements lease.Listener.
 type Home struct {
 	cfg   HomeConfig
 	ctx   context.Context
-	local *Holder
+	local *Holder // the counterpart on this VM, set by NewHolder
 
 	mu       sync.Mutex
 	accounts map[string]*account // by name, guarded by mu
 }
 
-// NewHome returns a home without accounts. ctx ends its calls.
+// NewHome returns a Home without accounts. Cancelling ctx ends its calls to other VMs.
 func NewHome(ctx context.Context, cfg HomeConfig) *Home {
 	return &Home{cfg: cfg, ctx: ctx, accounts: map[string]*account{}}
 }
@@ -75,39 +75,41 @@
 	limit, _ := h.cfg.Limits(name)
 	members := h.cfg.Fleet.Members()
 	a := newAccount(h.cfg.Policy, limit, len(members), time.Now())
-	earlier, recorded, err := decodeRecord(grant.Note)
+	previous, recorded, err := decodeRecord(grant.Note)
 	if err != nil {
-		h.cfg.Log.WithError(err).WithFields(logrus.Fields{"event": "account_record_malformed", "account": name}).Error()
+		h.cfg.Log.WithError(err).WithFields(logrus.Fields{"event": "account_record_malformed", "account": name}).
+			Error("malformed usage record of the previous home; starting without it")
 	}
 	if recorded {
-		a.adopt(earlier)
+		a.adoptRecord(previous)
 	}
 	h.mu.Lock()
 	h.accounts[name] = a
 	h.mu.Unlock()
 	h.cfg.Log.WithFields(logrus.Fields{
-		"event": "account_home", "account": name, "fencing": grant.Fencing, "recorded": recorded, "record": sum(a.past),
-		"record_age": a.recordAge().Round(time.Millisecond), "assumed": int64(a.pastSince(a.recorded, a.gained)),
-	}).Info()
+		"event": "account_home", "account": name, "fencing": grant.Fencing, "recorded": recorded, "record": sum(a.recordedBins),
+		"record_age": a.recordAge().Round(time.Millisecond), "assumed": int64(a.estimateSpent(a.recordedAt, a.gainedAt)),
+	}).Info("this VM became the home of the account")
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, m := range members {
 		if !m.Gone {
-			h.startAsking(name, a, m)
+			h.startPolling(name, a, m)
 		}
 	}
 }
 
-// startAsking has a VM asked what it has spent, unless it is being asked. h.mu is held.
-func (h *Home) startAsking(name string, a *account, m membership.Member) {
-	if a.asking[m.ID] {
+// startPolling starts to poll a VM for what it has spent, unless that is in progress. The caller must hold h.mu.
+func (h *Home) startPolling(name string, a *account, m membership.Member) {
+	if a.polling[m.ID] {
 		return
 	}
-	a.asking[m.ID] = true
-	go h.askTold(name, a, m)
+	a.polling[m.ID] = true
+	go h.pollUsage(name, a, m)
 }
 
-// Note returns the record of an account whose lease this VM holds, for the next home; nil for other leases.
+// Note returns the record to store with the lease of an account, for the next home. It returns nil if this VM is not
+// the home of an account by that lease.
 func (h *Home) Note(leaseName string) []byte {
 	name, ok := strings.CutPrefix(leaseName, lease.AccountPrefix)
 	if !ok {
@@ -120,73 +122,77 @@
 		return nil
 	}
 	now := time.Now()
-	a.absent = h.absentShare(name, a, now)
-	note, err := json.Marshal(a.record(now))
+	a.absentShare = h.absentShare(name, a, now)
+	note, err := json.Marshal(a.newRecord(now))
 	if err != nil {
-		h.cfg.Log.WithError(err).WithFields(logrus.Fields{"event": "account_not_recorded", "account": name}).Error()
+		h.cfg.Log.WithError(err).WithFields(logrus.Fields{"event": "account_not_recorded", "account": name}).
+			Error("failed to encode the usage record of the account")
 		return nil
 	}
 	return note
 }
 
-// askTold asks one VM what it has spent until it has answered or the answer no longer matters.
-func (h *Home) askTold(name string, a *account, m membership.Member) {
+// pollUsage polls one VM for what it has spent until it has reported or its report no longer matters, for at most
+// one window.
+func (h *Home) pollUsage(name string, a *account, m membership.Member) {
 	defer func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		delete(a.asking, m.ID)
+		delete(a.polling, m.ID)
 	}()
 	begun := time.Now()
 	for time.Since(begun) < h.cfg.Policy.Window && h.ctx.Err() == nil {
-		told, ok := h.tell(name, m)
+		report, ok := h.fetchUsage(name, m)
 		h.mu.Lock()
-		done := h.accounts[name] != a || a.told[m.ID] && !a.lapsed(m.Incarnation, time.Now())
+		done := h.accounts[name] != a || a.reported[m.ID] && !a.tokensExpired(m.Incarnation, time.Now())
 		if ok && !done {
-			a.learn(told, time.Now())
+			a.recordUsage(report, time.Now())
 		}
 		h.mu.Unlock()
 		if ok || done {
 			return
 		}
-		time.Sleep(tellPause)
+		time.Sleep(usagePollInterval)
 	}
 }
 
-// tell asks one VM, which may be this one.
-func (h *Home) tell(name string, m membership.Member) (Request, bool) {
+// fetchUsage requests the usage report of one VM, which may be this one.
+func (h *Home) fetchUsage(name string, m membership.Member) (Request, bool) {
 	if m.ID == h.local.cfg.Self {
-		return h.local.Tell(name), true
+		return h.local.Usage(name), true
 	}
 	ctx, cancel := context.WithTimeout(h.ctx, callTimeout)
 	defer cancel()
-	var told Request
-	err := h.cfg.Caller.Call(ctx, m.PeerAddress, tellMethod, &TellArgs{Account: name}, &told)
-	return told, err == nil && !told.malformed()
+	var report Request
+	err := h.cfg.Caller.Call(ctx, m.PeerAddress, tellMethod, &TellArgs{Account: name}, &report)
+	return report, err == nil && !report.malformed()
 }
 
-// absentShare returns the share of the VMs that may be spending without this home: those that have not
-// told, and those that have fallen silent and are not proven gone. The latter have to tell again when they
-// are heard of, because only then does the home know what they have spent. h.mu is held.
+// absentShare returns the share of the VMs that may be spending without this home: those that have not reported,
+// and those that are unresponsive but not proven gone. The latter must report again once they respond, because the
+// home does not know what they have spent meanwhile. absentShare also starts to poll VMs whose reports are missing,
+// and if tokens are scarce those whose tokens have expired, as they may have spent less than is counted. The caller
+// must hold h.mu.
 func (h *Home) absentShare(name string, a *account, now time.Time) float64 {
 	members := h.cfg.Fleet.Members()
-	a.total = len(members)
+	a.vmCount = len(members)
 	absent, scarce := 0, a.scarce(now)
-	clear(a.silent)
+	clear(a.unresponsive)
 	for _, m := range members {
-		silent := !m.Gone && m.Silent > silentAfter && m.ID != h.local.cfg.Self
+		unresponsive := !m.Gone && m.Silent > unresponsiveAfter && m.ID != h.local.cfg.Self
 		switch {
 		case m.Gone && m.GoneFor > h.cfg.Policy.Window:
-		case silent:
-			delete(a.told, m.ID)
-			a.silent[m.ID] = true
+		case unresponsive:
+			delete(a.reported, m.ID)
+			a.unresponsive[m.ID] = true
 			absent++
-		case !a.told[m.ID]:
+		case !a.reported[m.ID]:
 			absent++
 			if !m.Gone {
-				h.startAsking(name, a, m)
+				h.startPolling(name, a, m)
 			}
-		case scarce && a.lapsed(m.Incarnation, now):
-			h.startAsking(name, a, m)
+		case scarce && a.tokensExpired(m.Incarnation, now):
+			h.startPolling(name, a, m)
 		}
 	}
 	return float64(absent) / float64(max(len(members), 1))
@@ -203,7 +209,7 @@
 	delete(h.accounts, account)
 }
 
-// Settle answers a VM's request.
+// Settle records the report of a VM and lends it tokens, if this VM is the home of the account.
 func (h *Home) Settle(req Request) Reply {
 	limit, known := h.cfg.Limits(req.Account)
 	h.mu.Lock()
@@ -214,10 +220,10 @@
 	}
 	now := time.Now()
 	a.setLimit(limit, now)
-	a.learn(req, now)
-	a.absent = h.absentShare(req.Account, a, now)
+	a.recordUsage(req, now)
+	a.absentShare = h.absentShare(req.Account, a, now)
 	reply := a.settle(req, now)
-	// The lease is checked last: its end is what a later home's start waits for.
+	// The lease is checked last, because the next home starts as soon as this lease has ended.
 	if _, held := h.cfg.Lessor.Held(lease.AccountPrefix + req.Account); !held {
 		return Reply{NotHome: true}
 	}
@@ -225,27 +231,28 @@
 	return reply
 }
 
-// scarceLogPause is the least time between two lines on one account that is at its limit.
-const scarceLogPause = 500 * time.Millisecond
+// scarceLogInterval is the minimum time between two account_scarce log entries for one account.
+const scarceLogInterval = 500 * time.Millisecond
 
-// logScarce logs what an answer of an account at its limit has gone by. h.mu is held.
+// logScarce logs the figures behind a reply if the account is over its limit or the VM was lent less than it needs. The
+// caller must hold h.mu.
 func (h *Home) logScarce(req Request, reply Reply, a *account, now time.Time) {
-	if !reply.Excess && reply.Tokens >= req.Need || now.Sub(a.logged) < scarceLogPause {
+	if !reply.Excess && reply.Tokens >= req.Need || now.Sub(a.lastLogged) < scarceLogInterval {
 		return
 	}
-	a.logged = now
+	a.lastLogged = now
 	h.cfg.Log.WithFields(logrus.Fields{
 		"event": "account_scarce", "account": req.Account, "vm": req.VM, "held": req.Held, "need": req.Need, "want": req.Want,
 		"tokens": reply.Tokens, "used": int64(reply.Used), "lent": int64(reply.Lent), "window": h.cfg.Policy.Window,
-		"home_age": now.Sub(a.gained).Round(time.Millisecond), "told": len(a.told), "absent": reply.Absent,
-		"by_record": int64(a.onRecord(a.limit, a.lowered, now)),
-	}).Info()
+		"home_age": now.Sub(a.gainedAt).Round(time.Millisecond), "told": len(a.reported), "absent": reply.Absent,
+		"by_record": int64(a.recordedUsage(a.limit, a.loweredAt, now)),
+	}).Info("account is over its limit, or too few tokens remain for a request")
 }
 
-// maxTokens bounds the token counts in messages, so that sums cannot overflow.
+// maxTokens is the largest token count accepted in a message. It keeps sums from overflowing.
 const maxTokens = int64(1) << 48
 
-// malformed reports whether the request holds numbers that no VM sends.
+// malformed reports whether the request contains a token count that is negative or above maxTokens.
 func (r Request) malformed() bool {
 	for _, n := range append([]int64{r.Held, r.Want, r.Need}, r.Spent...) {
 		if n < 0 || n > maxTokens {
@@ -255,22 +262,22 @@
 	return false
 }
 
-// Service takes other VMs' calls by net/rpc.
+// Service serves the net/rpc calls of other VMs.
 type Service struct {
-	home   *Home
-	holder *Holder
+	home    *Home
+	limiter *Holder
 }
 
 // NewService returns the service to register with net/rpc under ServiceName.
-func NewService(home *Home, holder *Holder) *Service { return &Service{home: home, holder: holder} }
+func NewService(home *Home, limiter *Holder) *Service { return &Service{home: home, limiter: limiter} }
 
-// Tell tells a new home what this VM has spent and holds.
+// Tell reports to the home of an account what this VM has spent and holds.
 func (s *Service) Tell(args *TellArgs, reply *Request) error {
-	*reply = s.holder.Tell(args.Account)
+	*reply = s.limiter.Usage(args.Account)
 	return nil
 }
 
-// Settle answers a VM's request.
+// Settle records the report of another VM and lends it tokens. See Home.Settle.
 func (s *Service) Settle(args *Request, reply *Reply) error {
 	*reply = s.home.Settle(*args)
 	return nil
--- a/pkg/allowance/home_test.go
+++ b/pkg/allowance/home_test.go
@@ -15,63 +15,65 @@
 	"github.com/mallowlink/mallowlink/pkg/peer"
 )
 
-// holdsAll is a lessor by which this VM holds every lease.
-type holdsAll struct{}
+// allLeasesHeld is a lessor that says that this VM, a, holds every lease.
+type allLeasesHeld struct{}
 
-func (holdsAll) Held(name string) (lease.Grant, bool) {
+func (allLeasesHeld) Held(name string) (lease.Grant, bool) {
 	return lease.Grant{Name: name, Fencing: 1}, true
 }
-func (holdsAll) HolderOf(name string) (lease.Holder, bool) { return lease.Holder{VM: "a"}, true }
 
-// neighbour is one other VM, whose silence and answers the test sets.
-type neighbour struct {
-	mu      sync.Mutex
-	silent  time.Duration
-	answers bool
-	spent   int64
+func (allLeasesHeld) HolderOf(name string) (lease.Holder, bool) { return lease.Holder{VM: "a"}, true }
+
+// otherVM is VM b of a fleet of two, whose reachability and usage the test sets. It is also the fleet and the caller of
+// VM a.
+type otherVM struct {
+	mu        sync.Mutex
+	silent    time.Duration
+	reachable bool
+	spent     int64
 }
 
-func (n *neighbour) set(silent time.Duration, answers bool, spent int64) {
+func (n *otherVM) set(silent time.Duration, reachable bool, spent int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.silent, n.answers, n.spent = silent, answers, spent
+	n.silent, n.reachable, n.spent = silent, reachable, spent
 }
 
-func (n *neighbour) Members() []membership.Member {
+func (n *otherVM) Members() []membership.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return []membership.Member{{ID: "a"}, {ID: "b", Incarnation: "b1", PeerAddress: "b:1", Silent: n.silent}}
 }
 
-func (n *neighbour) Call(_ context.Context, _, _ string, _, reply any) error {
+func (n *otherVM) Call(_ context.Context, _, _ string, _, reply any) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.answers {
+	if !n.reachable {
 		return peer.ErrUnreachable
 	}
 	*reply.(*Request) = Request{VM: "b", Incarnation: "b1", Spent: []int64{n.spent}, Covers: time.Minute}
 	return nil
 }
 
-// homeBeside returns the home of all accounts on VM a, beside a neighbour.
-func homeBeside(ctx context.Context, b *neighbour) *Home {
+// newHomeWithOtherVM returns the Home of VM a, which is the home of all accounts, in a fleet with VM b.
+func newHomeWithOtherVM(ctx context.Context, b *otherVM) *Home {
 	log, _ := test.NewNullLogger()
 	home := NewHome(ctx, HomeConfig{
 		Policy: testPolicy, Limits: func(string) (Limit, bool) { return testLimit, true },
-		Lessor: holdsAll{}, Fleet: b, Caller: b, Log: log,
+		Lessor: allLeasesHeld{}, Fleet: b, Caller: b, Log: log,
 	})
-	NewHolder(ctx, HolderConfig{Self: "a", Incarnation: "1", Policy: testPolicy, Home: home, Lessor: holdsAll{}, Fleet: b, Log: log})
+	NewHolder(ctx, HolderConfig{Self: "a", Incarnation: "1", Policy: testPolicy, Home: home, Lessor: allLeasesHeld{}, Fleet: b, Log: log})
 	return home
 }
 
-// A VM that was silent may have spent without the home: when it is heard of again, its share stays set aside
-// until it has told.
-func TestAVMThatWasSilentTellsBeforeItCounts(t *testing.T) {
+// A VM that was unresponsive may have spent tokens without the home. When it responds again, its share must stay set
+// aside until it has reported.
+func TestUnresponsiveVMMustReportAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		b := &neighbour{answers: true}
-		home := homeBeside(ctx, b)
+		b := &otherVM{reachable: true}
+		home := newHomeWithOtherVM(ctx, b)
 		time.Sleep(time.Minute)
 		home.LeaseGained(lease.Grant{Name: lease.AccountPrefix + "x", Fencing: 1})
 		time.Sleep(time.Second)
@@ -80,10 +82,10 @@
 		}
 		require.Zero(t, settle().Absent)
 
-		b.set(2*silentAfter, false, 0)
+		b.set(2*unresponsiveAfter, false, 0)
 		require.InDelta(t, 0.5, settle().Absent, 0.01)
 		b.set(0, false, 0)
-		require.InDelta(t, 0.5, settle().Absent, 0.01, "it has not told")
+		require.InDelta(t, 0.5, settle().Absent, 0.01, "b has not reported")
 		b.set(0, true, 7000)
 		time.Sleep(time.Second)
 		reply := settle()
--- a/pkg/allowance/record.go
+++ b/pkg/allowance/record.go
@@ -7,60 +7,63 @@
 	"github.com/go-faster/errors"
 )
 
-// record is what an account's home writes down with each renewal of its lease, so that a later home knows
-// what was spent before a restart of VMs that could tell it.
+// record is the usage of an account that its home stores with each renewal of its lease. It tells a later home
+// what was spent, even if VMs that could have reported it have restarted since.
 type record struct {
-	// Spent is what all VMs have spent, as far as they have told, in each bin of the window, the newest first.
+	// Spent is what all VMs have spent in each bin of the window, as far as they have reported it, the newest
+	// bin first.
 	Spent []int64 `json:"spent"`
-	// Held is what they held then.
+	// Held is what all VMs held when the record was made.
 	Held int64 `json:"held"`
-	// At is the time of day then, in Unix milliseconds. If a clock was set back since, the record counts as new.
+	// At is when the record was made, by the system clock, in Unix milliseconds. If a clock was set back since and
+	// At lies in the future, the record counts as new.
 	At int64 `json:"at"`
 }
 
 const (
-	// recordBins are the bins between two renewals of a lease, rounded up, recordPause their time.
-	recordBins  = 3
-	recordPause = recordBins * binWidth
-	// recordGrowth is how many times more than in the busiest such time before VMs may have spent since they
-	// told the home whose record it is, if they held less then.
-	recordGrowth = 2
+	// renewalBins is the number of bins between two renewals of a lease, rounded up; renewalInterval is the time
+	// that they cover.
+	renewalBins     = 3
+	renewalInterval = renewalBins * binWidth
+	// growthFactor bounds what VMs may have spent after their last report to the home that made the record: this
+	// many times what they spent in the busiest renewalInterval on record, or what they held if that is more.
+	growthFactor = 2
 )
 
-// record returns what to write down of the account at now.
-func (a *account) record(now time.Time) record {
+// newRecord returns the record of the account to store at now.
+func (a *account) newRecord(now time.Time) record {
 	bins := make([]float64, a.policy.Window/binWidth+1)
 	held := int64(0)
-	for _, u := range a.uses {
-		held += u.mayHaveSpent(a.policy, now)
+	for _, u := range a.usage {
+		held += u.possiblySpent(a.policy, now)
 		for i, n := range u.spent.copyBins(now) {
 			bins[i] += float64(n)
 		}
 	}
-	even := a.absent * a.policy.lent(a.limit) / float64(len(bins))
+	absentPerBin := a.absentShare * a.policy.lendable(a.limit) / float64(len(bins))
 	r := record{Spent: make([]int64, len(bins)), Held: held, At: now.UnixMilli()}
 	for i := range bins {
-		older := now.Add(-time.Duration(i) * binWidth)
-		before := a.assumed(a.limit, older.Add(-binWidth), now) - a.assumed(a.limit, older, now)
-		r.Spent[i] = int64(bins[i] + even + before)
+		binEnd := now.Add(-time.Duration(i) * binWidth)
+		assumed := a.assumedUsage(a.limit, binEnd.Add(-binWidth), now) - a.assumedUsage(a.limit, binEnd, now)
+		r.Spent[i] = int64(bins[i] + absentPerBin + assumed)
 	}
-	a.keepPast(r.Spent, now)
+	a.carryOverRecord(r.Spent, now)
 	return r
 }
 
-// keepPast raises what is known of the bins before this home so far that no span up to its begin holds less than by the
-// earlier home's record, if that counts.
-func (a *account) keepPast(bins []int64, now time.Time) {
-	first := int(now.Sub(a.gained) / binWidth)
-	if !a.goesByRecord() || first >= len(bins) {
+// carryOverRecord raises the bins from before this VM became the home, if the record of the previous home is still
+// needed, so that no span that ends when this VM became the home counts less than by that record.
+func (a *account) carryOverRecord(bins []int64, now time.Time) {
+	first := int(now.Sub(a.gainedAt) / binWidth)
+	if !a.needsRecord() || first >= len(bins) {
 		return
 	}
-	known, most := int64(0), int64(0)
+	known, raised := int64(0), int64(0)
 	for i := first; i < len(bins); i++ {
 		known += bins[i]
-		past := a.pastSince(now.Add(-time.Duration(i+1)*binWidth), a.gained)
-		bins[i] = max(known, int64(past)) - most
-		most += bins[i]
+		past := a.estimateSpent(now.Add(-time.Duration(i+1)*binWidth), a.gainedAt)
+		bins[i] = max(known, int64(past)) - raised
+		raised += bins[i]
 	}
 }
 
@@ -72,65 +75,68 @@
 	return total
 }
 
-// goesByRecord reports whether the record of the earlier home counts: VMs cannot tell all of what they have spent
-// within the window.
-func (a *account) goesByRecord() bool {
-	return a.past != nil && (a.absent > 0 || len(a.covered) > 0)
+// needsRecord reports whether the record of the previous home still counts, because there is one and the VMs have
+// not, or cannot have, reported all that they spent within the window.
+func (a *account) needsRecord() bool {
+	return a.recordedBins != nil && (a.absentShare > 0 || len(a.coveredSince) > 0)
 }
 
-// adopt takes in the record of an earlier home.
-func (a *account) adopt(r record) {
-	a.past, a.pastHeld = r.Spent, r.Held
-	a.recorded = a.gained
-	if age := a.gained.Sub(time.UnixMilli(r.At)); age > 0 {
-		a.recorded = a.gained.Add(-age)
+// adoptRecord sets the record of the previous home. A record from the future counts as made when this VM became the
+// home.
+func (a *account) adoptRecord(r record) {
+	a.recordedBins, a.recordedHeld = r.Spent, r.Held
+	a.recordedAt = a.gainedAt
+	if age := a.gainedAt.Sub(time.UnixMilli(r.At)); age > 0 {
+		a.recordedAt = a.gainedAt.Add(-age)
 	}
 }
 
-// recordAge returns how old the record was when this VM became the home; 0 without one.
+// recordAge returns the age of the previous home's record when this VM became the home; 0 without a record.
 func (a *account) recordAge() time.Duration {
-	if a.past == nil {
+	if a.recordedBins == nil {
 		return 0
 	}
-	return a.gained.Sub(a.recorded)
+	return a.gainedAt.Sub(a.recordedAt)
 }
 
-// unrecorded returns what VMs may have spent after the record and before a moment, in tokens: at once at its end, as they
-// do between two records, and evenly over the time for which records were late.
-func (a *account) unrecorded(until time.Time) (atOnce, evenly float64) {
+// spentAfterRecord estimates the tokens that VMs may have spent between the record and until. atOnce may all have
+// been spent at the very end of that time, as can happen between any two records. evenly is spread over the whole of it,
+// and covers the time for which the next record was overdue.
+func (a *account) spentAfterRecord(until time.Time) (atOnce, evenly float64) {
 	busiest := int64(0)
-	for i := range a.past {
-		busiest = max(busiest, sum(a.past[i:min(i+recordBins, len(a.past))]))
+	for i := range a.recordedBins {
+		busiest = max(busiest, sum(a.recordedBins[i:min(i+renewalBins, len(a.recordedBins))]))
 	}
-	missed := max(until.Sub(a.recorded)-recordPause, 0)
-	late := missed.Seconds() / recordPause.Seconds()
-	// A VM that has used its stock up to refillShare tells so. A home whose records come late has heard that, and others
-	// have not.
-	stock := min(1-refillShare+refillShare*late, 1) * float64(a.pastHeld)
-	// The oldest bins leave the window meanwhile, and are lent anew.
-	leave := recordBins + int(missed/binWidth)
-	room := max(a.policy.lent(a.limit)-float64(sum(a.past[:max(len(a.past)-leave, 0)])), 0)
-	atOnce = min(max(recordGrowth*float64(busiest), stock), room)
-	return atOnce, min(late*float64(busiest), room-atOnce)
+	overdue := max(until.Sub(a.recordedAt)-renewalInterval, 0)
+	missedRenewals := overdue.Seconds() / renewalInterval.Seconds()
+	// A VM reports as soon as it has spent its balance down to refillShare, so it may have spent the other part of it
+	// without a report. If records were overdue, it may have spent the rest too: it reported that to the previous home,
+	// but no record says so.
+	fromBalance := min(1-refillShare+refillShare*missedRenewals, 1) * float64(a.recordedHeld)
+	// The oldest bins have left the window by then, and their tokens may have been lent again.
+	expiredBins := renewalBins + int(overdue/binWidth)
+	remaining := max(a.policy.lendable(a.limit)-float64(sum(a.recordedBins[:max(len(a.recordedBins)-expiredBins, 0)])), 0)
+	atOnce = min(max(growthFactor*float64(busiest), fromBalance), remaining)
+	return atOnce, min(missedRenewals*float64(busiest), remaining-atOnce)
 }
 
-// pastSince returns what all VMs have spent after a moment and before another one, from which on they know
-// their spending.
-func (a *account) pastSince(from, until time.Time) float64 {
+// estimateSpent estimates what all VMs spent between from and until, by the record of the previous home. until is the
+// time from which on VMs can report what they spent.
+func (a *account) estimateSpent(from, until time.Time) float64 {
 	if !until.After(from) {
 		return 0
 	}
-	if a.past == nil {
-		// Nothing is on record: all that may be lent, evenly over time.
+	if a.recordedBins == nil {
+		// Without a record, assume that all that may be lent was spent, evenly over time.
 		span := a.policy.Window + binWidth
-		return a.policy.lent(a.limit) * min(until.Sub(from).Seconds()/span.Seconds(), 1)
+		return a.policy.lendable(a.limit) * min(until.Sub(from).Seconds()/span.Seconds(), 1)
 	}
-	total, evenly := a.unrecorded(until)
-	if span := until.Sub(a.recorded); span > 0 {
+	total, evenly := a.spentAfterRecord(until)
+	if span := until.Sub(a.recordedAt); span > 0 {
 		total += evenly * min(until.Sub(from).Seconds()/span.Seconds(), 1)
 	}
-	for i, n := range a.past {
-		if !a.recorded.Add(-time.Duration(i) * binWidth).After(from) {
+	for i, n := range a.recordedBins {
+		if !a.recordedAt.Add(-time.Duration(i) * binWidth).After(from) {
 			break
 		}
 		total += float64(n)
@@ -138,17 +144,17 @@
 	return total
 }
 
-// decodeRecord reads a record. A lease without one has no record.
+// decodeRecord decodes the note of a lease, and reports whether it holds a record. A nil note holds none.
 func decodeRecord(note []byte) (record, bool, error) {
 	if note == nil {
 		return record{}, false, nil
 	}
 	var r record
 	if err := json.Unmarshal(note, &r); err != nil {
-		return record{}, false, errors.Wrap(err, "record of what was spent")
+		return record{}, false, errors.Wrap(err, "decode usage record")
 	}
 	if (Request{Spent: r.Spent, Held: r.Held}).malformed() {
-		return record{}, false, errors.New("record of what was spent: a number is out of range")
+		return record{}, false, errors.New("usage record: token count out of range")
 	}
 	return r, true, nil
 }
