--- a/pkg/allowance/account_test.go
+++ b/pkg/allowance/account_test.go
@@ -70,8 +70,8 @@
 	v.balance.fallback.homeReplied(v.balance.spent.sum(now)+v.balance.tokens, reply.remaining(), now)
 }
 
-// admit spends tokens for a request and reports whether it was admitted. As in Holder, it sends a request to the home if
-// there are too few tokens, or if few are left.
+// admit spends tokens for a request and reports whether it was admitted. As in production, it requests tokens from the
+// home if there are too few, or if few are left.
 func (v *vm) admit(home *account, tokens int64, now time.Time) bool {
 	v.balance.expire(now)
 	v.balance.recordDemand(tokens, now)
--- a/pkg/allowance/home.go
+++ b/pkg/allowance/home.go
@@ -55,7 +55,7 @@
 type Home struct {
 	cfg   HomeConfig
 	ctx   context.Context
-	local *Holder // the counterpart on this VM, set by NewHolder
+	local *Holder // the counterpart on this VM, set when that is created
 
 	mu       sync.Mutex
 	accounts map[string]*account // by name, guarded by mu
