--- a/pkg/memory/budget.go
+++ b/pkg/memory/budget.go
@@ -1,4 +1,4 @@
-// Package memory bounds the bytes that a VM holds for callers and endpoints, whatever these send.
+// Package memory bounds the bytes that a VM buffers for callers and endpoints, whatever they send.
 package memory
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Budget bounds the bytes held. It is safe for concurrent use.
+// Budget bounds the number of bytes reserved at any time. A Budget is safe for concurrent use.
 type Budget struct {
 	limit atomic.Int64
 	used  atomic.Int64
@@ -21,10 +21,10 @@
 	return b
 }
 
-// SetLimit changes the limit. What is held beyond it stays.
+// SetLimit changes the limit. Bytes already reserved stay reserved, even if they exceed the new limit.
 func (b *Budget) SetLimit(limit int64) { b.limit.Store(limit) }
 
-// Take reserves n bytes, or reports false.
+// Take reserves n bytes. It reports false, and reserves nothing, if that would exceed the limit.
 func (b *Budget) Take(n int64) bool {
 	if b.used.Add(n) <= b.limit.Load() {
 		return true
@@ -33,44 +33,47 @@
 	return false
 }
 
-// Give gives n bytes back.
+// Give releases n reserved bytes.
 func (b *Budget) Give(n int64) { b.used.Add(-n) }
 
-// Used returns the bytes reserved.
+// Used returns the number of bytes reserved.
 func (b *Budget) Used() int64 { return b.used.Load() }
 
-// firstRead is the buffer with which reading begins, in bytes, and smallest the least one where the size is known.
+// Sizes of the buffer with which ReadAll starts, in bytes.
 const (
-	firstRead = 4 << 10
-	smallest  = 512
+	// initialBufferSize is used if the size of the source is not known, and is the most that is used if it is known.
+	initialBufferSize = 4 << 10
+	// minBufferSize is the least that is used if the size of the source is known.
+	minBufferSize = 512
 )
 
 var (
-	// ErrExhausted says that the budget is used up.
+	// ErrExhausted is returned if the budget has too few bytes left.
 	ErrExhausted = errors.New("memory: budget exhausted")
-	// ErrTooLarge says that there is more to read than allowed.
+	// ErrTooLarge is returned if a source holds more bytes than the limit.
 	ErrTooLarge = errors.New("memory: too large")
 )
 
-// ReadAll reads all of src, at most limit bytes; 0 is no limit. size is what src is said to hold, -1 if that is not known.
-// The buffer grows with what has arrived, not with what was announced. What was read is returned also with an error. The
-// memory that it takes, held, is given back by the caller.
+// ReadAll reads src to its end, but at most limit bytes; a limit of 0 means no limit. size is the announced size of src, or
+// -1 if it is not known. The buffer grows with the bytes that have arrived, not with the announced size, so that a false
+// announcement reserves no memory. The data read so far is returned also with an error. held is the number of bytes
+// reserved for the buffer, which the caller must give back with Give, also after an error.
 func (b *Budget) ReadAll(src io.Reader, size, limit int64) (data []byte, held int64, err error) {
-	first := int64(firstRead)
+	first := int64(initialBufferSize)
 	if size >= 0 {
-		// One more byte, so that the end is found without growing.
-		first = min(max(size+1, smallest), firstRead)
+		// One more byte than announced, so that the end of src is found without growing the buffer.
+		first = min(max(size+1, minBufferSize), initialBufferSize)
 	}
 	for {
 		if len(data) == cap(data) {
-			more := max(first, int64(cap(data)))
-			if !b.Take(more) {
+			growth := max(first, int64(cap(data)))
+			if !b.Take(growth) {
 				return data, held, ErrExhausted
 			}
-			held += more
-			next := make([]byte, len(data), int64(len(data))+more)
-			copy(next, data)
-			data = next
+			held += growth
+			grown := make([]byte, len(data), int64(len(data))+growth)
+			copy(grown, data)
+			data = grown
 		}
 		n, err := src.Read(data[len(data):cap(data)])
 		data = data[:len(data)+n]
--- a/pkg/memory/budget_test.go
+++ b/pkg/memory/budget_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestReadAllHoldsWhatHasArrived(t *testing.T) {
+// The announced size must not decide how many bytes are reserved: a caller could reserve the whole budget with a false one.
+func TestReadAllReservesOnlyForArrivedBytes(t *testing.T) {
 	for _, size := range []int{0, 1, 511, 512, 4096, 100_000} {
 		want := bytes.Repeat([]byte("x"), size)
 		for _, announced := range []int64{-1, int64(size), 1 << 40} {
@@ -19,7 +20,7 @@
 			require.NoError(t, err)
 			require.True(t, bytes.Equal(want, data))
 			require.EqualValues(t, cap(data), held)
-			require.LessOrEqual(t, held, int64(max(2*size, firstRead)))
+			require.LessOrEqual(t, held, int64(max(2*size, initialBufferSize)))
 			require.Equal(t, held, b.Used())
 			b.Give(held)
 			require.Zero(t, b.Used())
@@ -27,15 +28,16 @@
 	}
 }
 
-func TestReadAllKeepsToItsBounds(t *testing.T) {
+// ReadAll must fail once a source exceeds the budget or the limit of the call, and what was reserved can be released.
+func TestReadAllStopsAtBudgetAndLimit(t *testing.T) {
 	b := NewBudget(10_000)
-	endless := io.MultiReader(strings.NewReader(strings.Repeat("x", 1<<20)))
-	data, held, err := b.ReadAll(endless, -1, 0)
+	large := io.MultiReader(strings.NewReader(strings.Repeat("x", 1<<20)))
+	data, held, err := b.ReadAll(large, -1, 0)
 	require.ErrorIs(t, err, ErrExhausted)
-	require.NotEmpty(t, data, "what has arrived can still be used")
+	require.NotEmpty(t, data, "the data read so far is returned")
 	require.LessOrEqual(t, held, int64(10_000))
 	b.Give(held)
-	_, held, err = b.ReadAll(endless, -1, 1000)
+	_, held, err = b.ReadAll(large, -1, 1000)
 	require.ErrorIs(t, err, ErrTooLarge)
 	b.Give(held)
 	require.Zero(t, b.Used())
