--- a/pkg/suspect/fingerprint.go
+++ b/pkg/suspect/fingerprint.go
@@ -5,7 +5,7 @@
 	"encoding/binary"
 )
 
-// Hash identifies equal requests: by method, target (path and query) and body. Its cost grows with the body.
+// Hash identifies equal requests by method, target (path and query) and body. Its cost grows with the size of the body.
 func Hash(method, target string, body []byte) [sha256.Size]byte {
 	h := sha256.New()
 	for _, part := range []string{method, target} {
@@ -16,7 +16,7 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// Fingerprint identifies equal requests of one client account. It is never 0.
+// Fingerprint identifies equal requests of one client account, from their Hash. It is never 0.
 func Fingerprint(account string, sum [sha256.Size]byte) uint64 {
 	h := sha256.New()
 	h.Write(sum[:])
--- a/pkg/suspect/fingerprint_test.go
+++ b/pkg/suspect/fingerprint_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFingerprintsTellRequestsApart(t *testing.T) {
-	one := Fingerprint("acme", Hash("POST", "/a/b?c", []byte("body")))
-	require.Equal(t, one, Fingerprint("acme", Hash("POST", "/a/b?c", []byte("body"))))
-	seen := map[uint64]bool{one: true, 0: true}
+func TestFingerprintsDistinguishRequests(t *testing.T) {
+	base := Fingerprint("acme", Hash("POST", "/a/b?c", []byte("body")))
+	require.Equal(t, base, Fingerprint("acme", Hash("POST", "/a/b?c", []byte("body"))))
+	seen := map[uint64]bool{base: true, 0: true}
 	for _, other := range []uint64{
 		Fingerprint("other", Hash("POST", "/a/b?c", []byte("body"))),
 		Fingerprint("acme", Hash("GET", "/a/b?c", []byte("body"))),
--- a/pkg/suspect/guard.go
+++ b/pkg/suspect/guard.go
@@ -9,40 +9,41 @@
 	"github.com/mallowlink/mallowlink/pkg/peer"
 )
 
-// ServiceName is the name under which Service is registered with net/rpc.
+// ServiceName is the name under which Service, or the service of VMs that dispatch directly, is registered with net/rpc.
 const ServiceName = "Suspect"
 
 const (
+	// announceTimeout bounds one announcement to all peers.
 	announceTimeout = 2 * time.Second
-	// announceParallel bounds the calls to peers that one announcement makes at once.
-	announceParallel = 16
-	// announceQueue bounds the crashes that wait to be announced; more are dropped, as peers also
+	// maxParallelCalls bounds the calls to peers that are in flight at once.
+	maxParallelCalls = 16
+	// announceQueueLen bounds the crashes that wait to be announced. Further ones are dropped, since peers also
 	// learn of them from the owner's refusals.
-	announceQueue = 256
+	announceQueueLen = 256
 )
 
-// Announcer tells the other VMs of a crash.
+// Announcer reports crashes to the other VMs.
 type Announcer interface {
-	Announce(notice Notice)
+	Announce(report Notice)
 }
 
-// Guard is an entry's table of suspects, kept in step with those of its peers.
+// Guard applies an entry VM's Table to its requests, and reports the crashes it sees to the other VMs.
 type Guard struct {
 	table     *Table
 	announcer Announcer
 }
 
-// NewGuard returns a Guard. announcer may be nil.
+// NewGuard returns a Guard for table. announcer may be nil: crashes are then not reported to other VMs.
 func NewGuard(table *Table, announcer Announcer) *Guard {
 	return &Guard{table: table, announcer: announcer}
 }
 
-// Admit decides whether a request may be dispatched.
+// Admit decides whether a request may be dispatched. See Table.Admit.
 func (g *Guard) Admit(fingerprint uint64) (Decision, time.Duration) {
 	return g.table.Admit(time.Now(), fingerprint)
 }
 
-// CrashSeen holds a crash against the request and tells the peers.
+// CrashSeen records a crash against the request and reports it to the other VMs.
 func (g *Guard) CrashSeen(fingerprint uint64, crash string) {
 	g.table.CrashSeen(time.Now(), fingerprint, crash)
 	if g.announcer != nil {
@@ -50,100 +51,102 @@
 	}
 }
 
-// Cleared drops what is held against a request that was answered whole.
-func (g *Guard) Cleared(fingerprint uint64) { g.table.Cleared(time.Now(), fingerprint) }
+// Cleared removes the crashes held against a request that received a complete response, unless it is refused already.
+func (g *Guard) Cleared(fingerprint uint64) { g.table.ClearUnlessRefused(time.Now(), fingerprint) }
 
-// NoticeArgs carries crashes to another VM.
-type NoticeArgs struct {
-	// From is the VM that tells.
+// ReportArgs carries crash reports to another VM.
+type ReportArgs struct {
+	// From is the ID of the VM that sends the reports. Only VMs that dispatch directly set it.
 	From    string
 	Notices []Notice
 }
 
-// NoticeReply answers NoticeArgs.
-type NoticeReply struct{}
+// ReportReply is the empty reply to ReportArgs.
+type ReportReply struct{}
 
-// ListArgs asks for every crash that a VM knows.
+// ListArgs requests the crash reports that a VM holds.
 type ListArgs struct{}
 
-// ListReply answers ListArgs.
+// ListReply carries the crash reports that a VM holds.
 type ListReply struct {
 	Notices []Notice
 }
 
-// Service is the net/rpc service by which VMs tell each other of crashes.
+// Service is the net/rpc service by which entry VMs report crashes to each other.
 type Service struct {
 	table *Table
 }
 
-// NewService returns the service of table.
+// NewService returns a Service that records reports in table and serves the reports that table holds.
 func NewService(table *Table) *Service { return &Service{table: table} }
 
-// Crashed takes in crashes that another VM saw.
-func (s *Service) Crashed(args *NoticeArgs, _ *NoticeReply) error {
-	absorb(s.table, args.Notices)
+// Crashed records crashes that another VM has seen.
+func (s *Service) Crashed(args *ReportArgs, _ *ReportReply) error {
+	applyReports(s.table, args.Notices)
 	return nil
 }
 
-// List returns every crash that this VM knows.
+// List returns reports of all crashes that this VM holds against requests.
 func (s *Service) List(_ *ListArgs, reply *ListReply) error {
 	reply.Notices = s.table.Notices(time.Now())
 	return nil
 }
 
-func absorb(table *Table, notices []Notice) {
+// applyReports records the crashes of reports in table, dated back by their age.
+func applyReports(table *Table, reports []Notice) {
 	now := time.Now()
-	for _, n := range notices {
-		table.CrashSeen(now.Add(-max(0, n.Age)), n.Fingerprint, n.Crash)
+	for _, r := range reports {
+		table.CrashSeen(now.Add(-max(0, r.Age)), r.Fingerprint, r.Crash)
 	}
 }
 
-// PeerAnnouncer is the Announcer that calls every other VM.
+// PeerAnnouncer is an Announcer that calls all other VMs, in the background.
 type PeerAnnouncer struct {
 	caller peer.Caller
 	view   membership.View
 	queue  chan Notice
 }
 
-// NewPeerAnnouncer returns a PeerAnnouncer. Run must be called for it to work.
+// NewPeerAnnouncer returns a PeerAnnouncer, which announces nothing until Run is called.
 func NewPeerAnnouncer(caller peer.Caller, view membership.View) *PeerAnnouncer {
-	return &PeerAnnouncer{caller: caller, view: view, queue: make(chan Notice, announceQueue)}
+	return &PeerAnnouncer{caller: caller, view: view, queue: make(chan Notice, announceQueueLen)}
 }
 
-// Announce queues the notice. It does not block.
-func (a *PeerAnnouncer) Announce(notice Notice) {
+// Announce queues a report and does not block. If the queue is full, the report is dropped.
+func (a *PeerAnnouncer) Announce(report Notice) {
 	select {
-	case a.queue <- notice:
+	case a.queue <- report:
 	default:
 	}
 }
 
-// Run tells the peers of crashes until ctx ends.
+// Run sends queued reports to the other VMs until ctx ends.
 func (a *PeerAnnouncer) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case notice := <-a.queue:
-			a.tell(ctx, a.gather(notice))
+		case report := <-a.queue:
+			a.broadcast(ctx, a.drainQueue(report))
 		}
 	}
 }
 
-// gather returns first and the notices that wait behind it.
-func (a *PeerAnnouncer) gather(first Notice) []Notice {
-	notices := []Notice{first}
+// drainQueue returns first and the reports queued behind it.
+func (a *PeerAnnouncer) drainQueue(first Notice) []Notice {
+	reports := []Notice{first}
 	for len(a.queue) > 0 {
-		notices = append(notices, <-a.queue)
+		reports = append(reports, <-a.queue)
 	}
-	return notices
+	return reports
 }
 
-func (a *PeerAnnouncer) tell(ctx context.Context, notices []Notice) {
+// broadcast sends the reports to all other VMs.
+func (a *PeerAnnouncer) broadcast(ctx context.Context, reports []Notice) {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	self := a.view.Self().ID
-	slots := make(chan struct{}, announceParallel)
+	slots := make(chan struct{}, maxParallelCalls)
 	var wg sync.WaitGroup
 	for _, member := range a.view.Members() {
 		if member.ID == self || member.Gone {
@@ -152,27 +155,28 @@
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			// A peer that misses the call learns of the suspect from its owner's refusals.
-			_ = a.caller.Call(ctx, member.PeerAddress, ServiceName+".Crashed", &NoticeArgs{Notices: notices}, &NoticeReply{})
+			// A failed call is not repeated: the peer learns of the suspect from the owner's refusals.
+			_ = a.caller.Call(ctx, member.PeerAddress, ServiceName+".Crashed", &ReportArgs{Notices: reports}, &ReportReply{})
 		})
 	}
 	wg.Wait()
 }
 
-// Fetch takes over what one live peer knows, for a VM that has just started.
+// Fetch records in table the crashes that one live peer knows of, for a VM that has just started. It tries the peers in
+// turn, and returns the last error if all of them fail.
 func (a *PeerAnnouncer) Fetch(ctx context.Context, table *Table) error {
 	self := a.view.Self().ID
-	var last error
+	var lastErr error
 	for _, member := range a.view.Live() {
 		if member.ID == self {
 			continue
 		}
 		var reply ListReply
-		last = a.caller.Call(ctx, member.PeerAddress, ServiceName+".List", &ListArgs{}, &reply)
-		if last == nil {
-			absorb(table, reply.Notices)
+		lastErr = a.caller.Call(ctx, member.PeerAddress, ServiceName+".List", &ListArgs{}, &reply)
+		if lastErr == nil {
+			applyReports(table, reply.Notices)
 			return nil
 		}
 	}
-	return last
+	return lastErr
 }
--- a/pkg/suspect/guard_test.go
+++ b/pkg/suspect/guard_test.go
@@ -21,31 +21,34 @@
 	os.Exit(m.Run())
 }
 
-// fleet passes calls to the services of other VMs, by address.
-type fleet map[string]*Service
+// serviceCaller is a peer.Caller that calls the services of other VMs in this process, by address.
+type serviceCaller map[string]*Service
 
-func (f fleet) Call(_ context.Context, address, method string, args, reply any) error {
-	service := f[address]
+func (c serviceCaller) Call(_ context.Context, address, method string, args, reply any) error {
+	service := c[address]
 	switch {
 	case service == nil:
 		return peer.ErrRefused
 	case method == ServiceName+".Crashed":
-		return service.Crashed(args.(*NoticeArgs), reply.(*NoticeReply))
+		return service.Crashed(args.(*ReportArgs), reply.(*ReportReply))
 	}
 	return service.List(args.(*ListArgs), reply.(*ListReply))
 }
 
-type view []membership.Member
+// staticView is a membership.View whose first member is this VM.
+type staticView []membership.Member
 
-func (v view) Self() membership.Member      { return v[0] }
-func (v view) Members() []membership.Member { return v }
-func (v view) Live() []membership.Member    { return v }
+func (v staticView) Self() membership.Member      { return v[0] }
+func (v staticView) Members() []membership.Member { return v }
+func (v staticView) Live() []membership.Member    { return v }
 
-func TestCrashesAreToldToPeers(t *testing.T) {
+// The crashes that one entry VM sees must become known to its peers, and to a VM that starts later, even if a peer cannot
+// be reached.
+func TestCrashesAreReportedToPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tables := map[string]*Table{}
-		services := fleet{}
-		var members view
+		services := serviceCaller{}
+		var members staticView
 		for _, name := range []string{"a", "b", "c"} {
 			tables[name] = NewTable(OwnerLimits())
 			services[name] = NewService(tables[name])
--- a/pkg/suspect/served.go
+++ b/pkg/suspect/served.go
@@ -6,55 +6,56 @@
 )
 
 const (
-	// servedMemory is how long at least it is known that a request was answered whole: longer than endpoints take to come
-	// back. It is known for twice that at most.
-	servedMemory = 10 * time.Second
-	// servedEntries bounds the requests of one servedMemory.
-	servedEntries = 2048
+	// servedRetention is the least time for which a request with a complete response is remembered: longer than endpoints
+	// take to restart. It is remembered for at most twice as long.
+	servedRetention = 10 * time.Second
+	// maxServedPerGeneration bounds the number of requests remembered from one servedRetention.
+	maxServedPerGeneration = 2048
 )
 
-// served knows the requests that were answered whole lately, in two generations. It is safe for concurrent use.
-type served struct {
+// recentlyServed is the set of requests that have recently received a complete response, in two generations. It is safe for
+// concurrent use.
+type recentlyServed struct {
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 
-	now, before map[uint64]struct{}
-	began       time.Time
+	current, previous map[uint64]struct{}
+	currentSince      time.Time
 }
 
-func newServed() *served { return &served{now: map[uint64]struct{}{}} }
+func newRecentlyServed() *recentlyServed { return &recentlyServed{current: map[uint64]struct{}{}} }
 
-// note takes in a request that was answered whole.
-func (s *served) note(fingerprint uint64, now time.Time) {
+// add adds a request that received a complete response. It is ignored if the current generation is full.
+func (s *recentlyServed) add(fingerprint uint64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn(now)
-	if len(s.now) < servedEntries {
-		s.now[fingerprint] = struct{}{}
+	s.rotate(now)
+	if len(s.current) < maxServedPerGeneration {
+		s.current[fingerprint] = struct{}{}
 	}
 }
 
-// lately reports whether a request was answered whole lately.
-func (s *served) lately(fingerprint uint64, now time.Time) bool {
+// contains reports whether a request has recently received a complete response.
+func (s *recentlyServed) contains(fingerprint uint64, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn(now)
-	if _, ok := s.now[fingerprint]; ok {
+	s.rotate(now)
+	if _, ok := s.current[fingerprint]; ok {
 		return true
 	}
-	_, ok := s.before[fingerprint]
+	_, ok := s.previous[fingerprint]
 	return ok
 }
 
-// turn begins a new generation when the current one is old. s.mu is held.
-func (s *served) turn(now time.Time) {
-	age := now.Sub(s.began)
-	if age < servedMemory {
+// rotate starts a new generation if the current one is older than servedRetention. s.mu is held.
+func (s *recentlyServed) rotate(now time.Time) {
+	age := now.Sub(s.currentSince)
+	if age < servedRetention {
 		return
 	}
-	s.before = s.now
-	if age >= 2*servedMemory {
-		s.before = nil
+	s.previous = s.current
+	if age >= 2*servedRetention {
+		s.previous = nil
 	}
-	s.now, s.began = map[uint64]struct{}{}, now
+	s.current, s.currentSince = map[uint64]struct{}{}, now
 }
--- /dev/null
+++ b/pkg/suspect/store.go
@@ -0,0 +1,199 @@
+package suspect
+
+import (
+	"context"
+	"encoding/json"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/go-faster/errors"
+	"github.com/google/uuid"
+	"github.com/sirupsen/logrus"
+
+	"github.com/mallowlink/mallowlink/pkg/clock"
+	"github.com/mallowlink/mallowlink/pkg/membership"
+	"github.com/mallowlink/mallowlink/pkg/platform"
+)
+
+const (
+	// rowPrefix is the prefix of the keys of the rows that hold refused requests.
+	rowPrefix = "suspect/"
+	// rowInterval is the time between two passes over the rows, which are listed anyway for other purposes. Each pass writes
+	// or deletes at most one row.
+	rowInterval = 500 * time.Millisecond
+	// commitTimeout bounds the write or deletion of a row.
+	commitTimeout = 2 * time.Second
+)
+
+// rowTable is the platform's table, which holds the rows. *follow.Mirror implements it.
+type rowTable interface {
+	// Commit applies a transaction.
+	Commit(ctx context.Context, txn platform.Txn) (uint64, error)
+	// Known returns the rows as of the last listing, without a call.
+	Known(prefix string) []platform.Row
+}
+
+// Rows keeps refused requests in the platform's table, so that they are known after all VMs have restarted, and to VMs that
+// reach the table but no other VM. Nothing is written while no request is refused.
+type Rows struct {
+	syncer *Share
+	rows   rowTable
+	now    func() time.Time
+	// stored are the requests that the table holds; deleted are the versions, by key, of rows that this VM has deleted or found
+	// to be gone.
+	stored  map[uint64]bool
+	deleted map[string]uint64
+}
+
+// storedRequest is the value of a row: one refused request. Seen is wall-clock time, as no other clock outlives the VMs: an
+// error in it changes how long the request is refused, and nothing else.
+type storedRequest struct {
+	Account string    `json:"account"`
+	Crashes []string  `json:"crashes"`
+	Seen    time.Time `json:"seen"`
+}
+
+// NewRows returns a store for the refused requests of syncer, in the platform's table.
+func NewRows(syncer *Share, rows rowTable) *Rows {
+	return &Rows{syncer: syncer, rows: rows, now: time.Now, stored: map[uint64]bool{}, deleted: map[string]uint64{}}
+}
+
+// Run keeps the rows and the crash reports of this VM consistent until ctx ends.
+func (s *Rows) Run(ctx context.Context) {
+	clock.Every(ctx, rowInterval, func(time.Time) { s.syncOnce(ctx) })
+}
+
+// syncOnce applies the rows that are known, and deletes or writes at most one row.
+func (s *Rows) syncOnce(ctx context.Context) {
+	obsolete, found := s.applyRows()
+	if found {
+		s.deleteRow(ctx, obsolete)
+		return
+	}
+	if fingerprint, value, ok := s.nextUnstored(); ok {
+		s.write(ctx, fingerprint, value)
+	}
+}
+
+// applyRows applies the rows that have not been applied yet. It returns a row to delete, if there is one: a malformed row, or
+// one whose crashes are no longer held against the request, which would be refused again once a VM restarts.
+func (s *Rows) applyRows() (obsolete platform.Row, found bool) {
+	for _, row := range s.rows.Known(rowPrefix) {
+		if s.deleted[row.Key] == row.Version {
+			continue
+		}
+		fingerprint, req, err := decodeRow(row)
+		if err != nil {
+			s.syncer.log.WithError(err).WithFields(logrus.Fields{"event": "suspect_row_malformed", "key": row.Key}).Warn("deleting malformed row of a refused request")
+			obsolete, found = row, true
+			continue
+		}
+		age := max(0, s.now().Sub(req.Seen))
+		if age >= s.syncer.table.limits.Retention {
+			obsolete, found = row, true
+			continue
+		}
+		if s.stored[fingerprint] {
+			if s.syncer.summaryOf(s.now(), fingerprint).crashes == 0 {
+				obsolete, found = row, true
+			}
+			continue
+		}
+		s.stored[fingerprint] = true
+		var reports []Notice
+		for _, crash := range req.Crashes {
+			reports = append(reports, Notice{Account: req.Account, Fingerprint: fingerprint, Crash: crash, Age: age})
+		}
+		s.syncer.apply("table", reports)
+		// Only a few VMs list the table. They report the request to the others as if they had seen it themselves.
+		s.syncer.table.MarkObserved(fingerprint)
+	}
+	return obsolete, found
+}
+
+// decodeRow returns the fingerprint and the request that a row holds.
+func decodeRow(row platform.Row) (uint64, storedRequest, error) {
+	fingerprint, err := strconv.ParseUint(strings.TrimPrefix(row.Key, rowPrefix), 16, 64)
+	if err != nil {
+		return 0, storedRequest{}, errors.Wrap(err, "parse row key")
+	}
+	var req storedRequest
+	if err := json.Unmarshal(row.Value, &req); err != nil {
+		return 0, storedRequest{}, errors.Wrap(err, "decode row value")
+	}
+	return fingerprint, req, nil
+}
+
+// nextUnstored returns a refused request that has no row yet and that this VM has to write.
+func (s *Rows) nextUnstored() (uint64, storedRequest, bool) {
+	members := s.syncer.members()
+	for fingerprint, reports := range s.syncer.reportsByRequest() {
+		if len(reports) < s.syncer.table.limits.Crashes || s.stored[fingerprint] || !s.syncer.shouldStore(members, fingerprint) {
+			continue
+		}
+		req := storedRequest{Account: reports[0].Account, Seen: s.now().Add(-reports[0].Age)}
+		for _, r := range reports {
+			req.Crashes = append(req.Crashes, r.Crash)
+		}
+		return fingerprint, req, true
+	}
+	return 0, storedRequest{}, false
+}
+
+// shouldStore reports whether this VM writes the row of a refused request: it is the first home of the request, or a call to
+// that home has failed recently.
+func (s *Share) shouldStore(members []membership.Member, fingerprint uint64) bool {
+	homes := homesOf(members, fingerprint)
+	if len(homes) == 0 || homes[0] == s.self {
+		return true
+	}
+	home := slices.IndexFunc(members, func(m membership.Member) bool { return m.ID == homes[0] })
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return time.Since(s.lastFailure[peerIncarnation{homes[0], members[home].Incarnation}]) < 2*syncRetryDelay
+}
+
+// write writes the row of a refused request.
+func (s *Rows) write(ctx context.Context, fingerprint uint64, req storedRequest) {
+	value, err := json.Marshal(req)
+	if err != nil {
+		s.syncer.log.WithError(err).WithField("event", "suspect_not_stored").Error("could not encode refused request")
+		return
+	}
+	key := rowPrefix + Text(fingerprint)
+	err = s.commit(ctx, platform.Txn{
+		Conditions: []platform.Condition{{Key: key}},
+		Writes:     []platform.Write{{Key: key, Value: value}},
+	})
+	// A conflict means that the row exists already, with the same content.
+	if err == nil || errors.Is(err, platform.ErrConflict) {
+		s.stored[fingerprint] = true
+		s.syncer.log.WithFields(logrus.Fields{"event": "suspect_stored", "fingerprint": Text(fingerprint)}).Info("refused request is stored")
+		return
+	}
+	s.syncer.log.WithError(err).WithFields(logrus.Fields{"event": "suspect_not_stored", "fingerprint": Text(fingerprint)}).Warn("could not store refused request")
+}
+
+// deleteRow deletes a row.
+func (s *Rows) deleteRow(ctx context.Context, obsolete platform.Row) {
+	err := s.commit(ctx, platform.Txn{
+		Conditions: []platform.Condition{{Key: obsolete.Key, Version: obsolete.Version}},
+		Writes:     []platform.Write{{Key: obsolete.Key, Delete: true}},
+	})
+	if err == nil || errors.Is(err, platform.ErrConflict) {
+		s.deleted[obsolete.Key] = obsolete.Version
+	} else {
+		s.syncer.log.WithError(err).WithFields(logrus.Fields{"event": "suspect_row_kept", "key": obsolete.Key}).Warn("could not delete row of a refused request")
+	}
+}
+
+// commit applies a transaction under a new attempt ID.
+func (s *Rows) commit(ctx context.Context, txn platform.Txn) error {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
+	defer cancel()
+	txn.Attempt = uuid.NewString()
+	_, err := s.rows.Commit(ctx, txn)
+	return err
+}
--- /dev/null
+++ b/pkg/suspect/syncer.go
@@ -0,0 +1,330 @@
+package suspect
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/sirupsen/logrus"
+
+	"github.com/mallowlink/mallowlink/pkg/clock"
+	"github.com/mallowlink/mallowlink/pkg/membership"
+	"github.com/mallowlink/mallowlink/pkg/peer"
+)
+
+const (
+	// homesPerRequest is the number of VMs that count the crashes of one request for all others.
+	homesPerRequest = 2
+	// broadcastThreshold is the number of crashes from which a request is reported to every VM. Innocent requests hardly ever
+	// have as many, so that the crash of an endpoint costs a few calls, however many VMs there are.
+	broadcastThreshold = 2
+	// syncTimeout bounds a call with crash reports, syncRetryDelay is the time after which a failed one is repeated.
+	syncTimeout    = 500 * time.Millisecond
+	syncRetryDelay = 300 * time.Millisecond
+	// crashTimeTimeout bounds the calls that report when a crash was seen.
+	crashTimeTimeout = 200 * time.Millisecond
+	// minSyncInterval is the pause after each pass over all VMs, which bounds the rate of passes while many endpoints crash.
+	minSyncInterval = 20 * time.Millisecond
+	// syncPollInterval is the time between two checks for VMs that have started or are reachable again.
+	syncPollInterval = 500 * time.Millisecond
+	// maxReportsPerCall is the number of reports from which a call takes no further requests.
+	maxReportsPerCall = 512
+	// sweepInterval is the time between two sweeps of expired crashes and clearances.
+	sweepInterval = 5 * time.Second
+)
+
+// Share exchanges crash reports with the other VMs that dispatch directly. Each request has homesPerRequest home VMs, chosen
+// by rendezvous hash, which count its crashes for the whole fleet and notify all VMs of a request with several crashes. What
+// was sent is remembered for each incarnation of a VM. What could not be sent is sent later: to VMs that were unreachable,
+// have just started, or were paused. Share is safe for concurrent use.
+type Share struct {
+	self     string
+	table    *Table
+	detector *Watch
+	caller   peer.Caller
+	members  func() []membership.Member
+	log      logrus.FieldLogger
+	wake     chan struct{}
+
+	mu sync.Mutex
+	// sent holds, for each VM incarnation, the state of each request as last reported to it; guarded by mu.
+	sent map[peerIncarnation]map[uint64]summary
+	// lastFailure holds when a call to a VM last failed, inFlight the VMs to which a call is in flight; guarded by mu.
+	lastFailure map[peerIncarnation]time.Time
+	inFlight    map[peerIncarnation]bool
+	// crashTimes maps the crashes of which this VM is a home to when they were first seen; guarded by mu.
+	crashTimes map[string]time.Time
+	// callSlots bounds the calls in flight.
+	callSlots chan struct{}
+}
+
+// peerIncarnation identifies one incarnation of a VM.
+type peerIncarnation struct{ vm, incarnation string }
+
+// summary is the state of a request, as far as it is reported to other VMs.
+type summary struct {
+	crashes int
+	cleared bool
+}
+
+// NewShare returns the syncer of the VM with the ID self. members returns all known VMs.
+func NewShare(self string, table *Table, caller peer.Caller, members func() []membership.Member, log logrus.FieldLogger) *Share {
+	return &Share{
+		self: self, table: table, caller: caller, members: members, log: log, wake: make(chan struct{}, 1),
+		sent: map[peerIncarnation]map[uint64]summary{}, lastFailure: map[peerIncarnation]time.Time{}, inFlight: map[peerIncarnation]bool{}, crashTimes: map[string]time.Time{},
+		callSlots: make(chan struct{}, maxParallelCalls),
+	}
+}
+
+// Follow connects s to the detector whose crashes it reports. From then on, trials of a refused request are decided by the
+// first home of the request only. It must be called before Run.
+func (s *Share) Follow(d *Watch) {
+	s.detector = d
+	d.decidesTrials = func(fingerprint uint64) bool {
+		homes := homesOf(s.members(), fingerprint)
+		return len(homes) > 0 && homes[0] == s.self
+	}
+	d.reconcileCrashTime = s.reconcileCrashTime
+}
+
+// Wake signals that there may be something to report. It does not block.
+func (s *Share) Wake() {
+	select {
+	case s.wake <- struct{}{}:
+	default:
+	}
+}
+
+// Run sends reports to the other VMs until ctx ends.
+func (s *Share) Run(ctx context.Context) {
+	go clock.Every(ctx, sweepInterval, s.detector.Sweep)
+	ticker := time.NewTicker(syncPollInterval)
+	defer ticker.Stop()
+	for ctx.Err() == nil {
+		select {
+		case <-ctx.Done():
+		case <-s.wake:
+		case <-ticker.C:
+		}
+		if s.table.Empty() {
+			s.forgetSent()
+			continue
+		}
+		s.sendPending(ctx)
+		clock.Sleep(ctx, minSyncInterval)
+	}
+}
+
+// forgetSent discards what was sent, once the table is empty.
+func (s *Share) forgetSent() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	clear(s.sent)
+	clear(s.lastFailure)
+}
+
+// sendPending sends each VM the reports that it has not yet received.
+func (s *Share) sendPending(ctx context.Context) {
+	members := s.members()
+	known := s.reportsByRequest()
+	homes := make(map[uint64][]string, len(known))
+	for fingerprint := range known {
+		homes[fingerprint] = homesOf(members, fingerprint)
+	}
+	for _, m := range members {
+		if batch := s.pendingReports(m, known, homes); len(batch) > 0 {
+			select {
+			case s.callSlots <- struct{}{}:
+			case <-ctx.Done():
+				return
+			}
+			go func() {
+				defer func() { <-s.callSlots }()
+				s.send(ctx, m, batch)
+			}()
+		}
+	}
+	s.forgetDeparted(members)
+}
+
+// pendingReports returns the reports to send to a VM. If there are any, it marks a call to the VM as in flight: no other is
+// made until that ends.
+func (s *Share) pendingReports(to membership.Member, known map[uint64][]Notice, homes map[uint64][]string) []Notice {
+	id := peerIncarnation{to.ID, to.Incarnation}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if to.ID == s.self || to.Gone || s.inFlight[id] || time.Since(s.lastFailure[id]) < syncRetryDelay {
+		return nil
+	}
+	var batch []Notice
+	for fingerprint, reports := range known {
+		current := summarize(reports)
+		last, ok := s.sent[id][fingerprint]
+		if ok && last == current || !s.shouldReport(to.ID, homes[fingerprint], reports) {
+			continue
+		}
+		if batch = append(batch, reports...); len(batch) >= maxReportsPerCall {
+			break
+		}
+	}
+	s.inFlight[id] = len(batch) > 0
+	return batch
+}
+
+// reportsByRequest returns all reports that other VMs may receive, by fingerprint.
+func (s *Share) reportsByRequest() map[uint64][]Notice {
+	byRequest := map[uint64][]Notice{}
+	// The unconfirmed crashes are looked up before the table: a crash retracted in between must not be reported.
+	unconfirmed := s.detector.unconfirmedCrashes()
+	for _, r := range s.table.Notices(time.Now()) {
+		if r.Cleared || !unconfirmed[r.Crash] {
+			byRequest[r.Fingerprint] = append(byRequest[r.Fingerprint], r)
+		}
+	}
+	return byRequest
+}
+
+// summarize sums up the reports on one request, of which there must be at least one.
+func summarize(reports []Notice) summary {
+	if reports[0].Cleared {
+		return summary{cleared: true}
+	}
+	return summary{crashes: len(reports)}
+}
+
+// shouldReport reports whether this VM sends its reports on a request to the given VM. The homes of the request receive them
+// from VMs that have seen something themselves, and from each other; all other VMs receive them from the homes.
+func (s *Share) shouldReport(vm string, homes []string, reports []Notice) bool {
+	state, home := summarize(reports), slices.Contains(homes, s.self)
+	if slices.Contains(homes, vm) && (home || reports[0].Witnessed) {
+		return true
+	}
+	return home && (state.cleared || state.crashes >= broadcastThreshold)
+}
+
+// homesOf returns the IDs of the VMs that count a request's crashes, by rendezvous hash of ID and fingerprint, in order of
+// preference.
+func homesOf(members []membership.Member, fingerprint uint64) []string {
+	var best [homesPerRequest]uint64
+	homes := make([]string, 0, homesPerRequest)
+	text := Text(fingerprint)
+	for _, m := range members {
+		if m.Gone {
+			continue
+		}
+		score := xxhash.Sum64String(m.ID + text)
+		at := 0
+		for at < len(homes) && best[at] >= score {
+			at++
+		}
+		if at == homesPerRequest {
+			continue
+		}
+		homes = slices.Insert(homes, at, m.ID)[:min(len(homes)+1, homesPerRequest)]
+		copy(best[at+1:], best[at:])
+		best[at] = score
+	}
+	return homes
+}
+
+// send sends a batch of reports to a VM, and applies the reports that it returns on the same requests.
+func (s *Share) send(ctx context.Context, m membership.Member, batch []Notice) {
+	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
+	defer cancel()
+	id := peerIncarnation{m.ID, m.Incarnation}
+	var reply ListReply
+	err := s.caller.Call(ctx, m.PeerAddress, ServiceName+".Tell", &ReportArgs{From: s.self, Notices: batch}, &reply)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.inFlight, id)
+	if err != nil {
+		s.lastFailure[id] = time.Now()
+		s.log.WithError(err).WithFields(logrus.Fields{"event": "suspects_not_told", "to": m.ID, "notices": len(batch)}).Info("could not send crash reports to peer")
+		return
+	}
+	if s.sent[id] == nil {
+		s.sent[id] = map[uint64]summary{}
+	}
+	byRequest := map[uint64][]Notice{}
+	for _, r := range batch {
+		byRequest[r.Fingerprint] = append(byRequest[r.Fingerprint], r)
+	}
+	for fingerprint, reports := range byRequest {
+		s.sent[id][fingerprint] = summarize(reports)
+	}
+	s.apply(m.ID, reply.Notices)
+}
+
+// apply records reports from another VM. from is its ID, or "table" if they were read from the platform's table. A crash is
+// not held against a request that this VM has recently served: a clearance is recorded and reported instead.
+func (s *Share) apply(from string, reports []Notice) {
+	now := time.Now()
+	changed := false
+	for _, r := range reports {
+		at := now.Add(-max(0, r.Age))
+		before := s.summaryOf(now, r.Fingerprint)
+		switch {
+		case r.Cleared:
+			s.table.Clear(at, r.Fingerprint)
+		case s.detector.served.contains(r.Fingerprint, now):
+			s.table.RecordClearance(now, r.Account, r.Fingerprint)
+		default:
+			s.table.Accuse(at, r.Account, r.Fingerprint, r.Crash)
+		}
+		after := s.summaryOf(now, r.Fingerprint)
+		if after == before {
+			continue
+		}
+		changed = true
+		s.log.WithFields(logrus.Fields{
+			"event": "suspect_told", "from": from, "fingerprint": Text(r.Fingerprint), "account": r.Account,
+			"crash": r.Crash, "cleared": r.Cleared, "crashes": after.crashes, "age": r.Age.Round(time.Millisecond),
+		}).Info("crash report changed the state of a request")
+	}
+	if changed {
+		s.Wake()
+	}
+}
+
+// summaryOf returns the state of a request; it is empty if nothing is known of it.
+func (s *Share) summaryOf(now time.Time, fingerprint uint64) summary {
+	if held := s.table.ReportsOf(now, fingerprint); len(held) > 0 {
+		return summarize(held)
+	}
+	return summary{}
+}
+
+// forgetDeparted discards what was sent to VM incarnations that no longer exist.
+func (s *Share) forgetDeparted(members []membership.Member) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	live := map[peerIncarnation]bool{}
+	for _, m := range members {
+		live[peerIncarnation{m.ID, m.Incarnation}] = true
+	}
+	maps.DeleteFunc(s.sent, func(id peerIncarnation, _ map[uint64]summary) bool { return !live[id] })
+	maps.DeleteFunc(s.lastFailure, func(id peerIncarnation, _ time.Time) bool { return !live[id] })
+}
+
+// SyncService is the net/rpc service by which VMs that dispatch directly exchange crash reports.
+type SyncService struct{ syncer *Share }
+
+// Service returns the service to register with net/rpc under ServiceName.
+func (s *Share) Service() *SyncService { return &SyncService{s} }
+
+// Tell records the reports of another VM, and returns this VM's reports on the same requests.
+func (s *SyncService) Tell(args *ReportArgs, reply *ListReply) error {
+	s.syncer.apply(args.From, args.Notices)
+	now := time.Now()
+	seen := map[uint64]bool{}
+	for _, r := range args.Notices {
+		if !seen[r.Fingerprint] {
+			seen[r.Fingerprint] = true
+			reply.Notices = append(reply.Notices, s.syncer.table.ReportsOf(now, r.Fingerprint)...)
+		}
+	}
+	return nil
+}
--- a/pkg/suspect/table.go
+++ b/pkg/suspect/table.go
@@ -1,10 +1,17 @@
-// Package suspect keeps track of requests that were in flight when an endpoint crashed, so that one
-// request that crashes every endpoint it reaches costs the fleet only a few of them.
+// Package suspect keeps track of requests that were in flight at an endpoint when that endpoint crashed, so that one
+// request that crashes every endpoint it reaches costs the fleet only a few of them. Such a request is called a suspect.
+// Equal requests of one client account share a fingerprint, and are copies of each other. A crash is identified by the ID
+// and the start time of the endpoint incarnation that crashed.
 //
-// Owners keep a Table of what runs on their endpoints, which bounds copies of one request that
-// arrive at the same moment; entries keep one too, told to each other, which survives the owner.
-// VMs that dispatch directly have no owner: each keeps a Watch, which finds out whether an endpoint
-// has ended and tells the other VMs.
+// The package serves two kinds of deployment:
+//
+//   - Where endpoint groups have owners, each owner keeps a Table of the requests that run at its endpoints, which bounds
+//     the copies of one request that arrive at the same moment. The entry VMs, which pass requests on to the owners, keep
+//     a Table behind a Guard as well and report crashes to each other, so that the knowledge survives the loss of the
+//     owner.
+//   - VMs that dispatch directly have no owner. Each runs a crash detector (detector.go), which finds out whether an
+//     endpoint has crashed, and exchanges crash reports with the other VMs (syncer.go). Refused requests are also kept in
+//     the table of the platform (store.go).
 package suspect
 
 import (
@@ -15,58 +22,58 @@
 
 // Defaults of Limits.
 const (
-	// MaxCrashes is the crashes after which a request is refused by the owner of an endpoint group, which sees
+	// MaxCrashes is the number of crashes from which a request is refused by the owner of an endpoint group, which sees
 	// every request that runs at its endpoints.
 	MaxCrashes = 2
-	// DirectCrashes is the crashes after which a request is refused by VMs that dispatch directly. They cannot
-	// always keep others' requests away from a suspect, so that two ends may be met by chance.
+	// DirectCrashes is the number of crashes from which a request is refused by VMs that dispatch directly. They cannot
+	// always keep other requests away from a suspect, so that an innocent request may be in flight at two crashes by chance.
 	DirectCrashes = 3
 	// DefaultMemory is how long a crash is held against a request.
 	DefaultMemory = 10 * time.Minute
-	// DirectMemory is the same for VMs that dispatch directly: each time it ends, the request may crash
-	// DirectCrashes endpoints again.
-	DirectMemory = time.Hour
-	// DefaultEntries bounds the requests with a crash that a Table knows.
+	// DirectRetention is how long VMs that dispatch directly hold a crash against a request. It is longer because the request
+	// may crash DirectCrashes endpoints again each time it expires.
+	DirectRetention = time.Hour
+	// DefaultEntries is the number of suspects that a Table holds at most.
 	DefaultEntries = 4096
 )
 
-// Limits bound what a Table holds against requests.
+// Limits bound the crashes that a Table holds against requests.
 type Limits struct {
-	// Crashes is the crashes after which a request is refused.
+	// Crashes is the number of crashes from which a request is refused.
 	Crashes int
-	// Memory is how long a crash is held against a request.
-	Memory time.Duration
-	// Entries bounds the requests with a crash.
+	// Retention is how long a crash is held against a request, counted from the latest one.
+	Retention time.Duration
+	// Entries is the maximum number of suspects.
 	Entries int
 }
 
-// OwnerLimits are those of owners of endpoint groups and of the entries before them.
+// OwnerLimits returns the limits for owners of endpoint groups and for the entry VMs that pass requests on to them.
 func OwnerLimits() Limits {
-	return Limits{Crashes: MaxCrashes, Memory: DefaultMemory, Entries: DefaultEntries}
+	return Limits{Crashes: MaxCrashes, Retention: DefaultMemory, Entries: DefaultEntries}
 }
 
-// DirectLimits are those of VMs that dispatch directly.
+// DirectLimits returns the limits for VMs that dispatch directly.
 func DirectLimits() Limits {
-	return Limits{Crashes: DirectCrashes, Memory: DirectMemory, Entries: DefaultEntries}
+	return Limits{Crashes: DirectCrashes, Retention: DirectRetention, Entries: DefaultEntries}
 }
 
-// Decision says how a request may run.
+// Decision says whether and where a request may run.
 type Decision uint8
 
-// Decisions.
+// Values of Decision.
 const (
-	// Allow lets the request run anywhere.
+	// Allow lets the request run on any endpoint.
 	Allow Decision = iota + 1
-	// Isolate lets it run on an endpoint on which no other suspect runs.
+	// Isolate lets the request run only on an endpoint on which no other suspect runs.
 	Isolate
-	// Wait lets it run only on an endpoint on which a copy of it runs, or once a copy has ended.
+	// Wait lets the request run only on an endpoint on which a copy of it runs already, or after a copy has ended.
 	Wait
-	// Refuse lets it not run.
+	// Refuse forbids the request to run.
 	Refuse
 )
 
-// Table counts the crashes of each fingerprint and where copies of it run.
-// It is safe for concurrent use. Time is passed in.
+// Table records the crashes held against each fingerprint, and the endpoints on which copies of the request run.
+// It is safe for concurrent use. Its methods take the current time as an argument.
 type Table struct {
 	limits Limits
 
@@ -74,42 +81,45 @@
 	// The fields below are guarded by mu.
 
 	entries map[uint64]*entry
-	// crashed counts the entries with crashes, perAccount by client account.
-	crashed    int
-	perAccount map[string]int
+	// suspects is the number of entries with crashes, suspectsPerAccount the same for each client account.
+	suspects           int
+	suspectsPerAccount map[string]int
 }
 
+// entry is the state of one fingerprint.
 type entry struct {
 	account string
 	crashes []string
-	last    time.Time
-	// cleared is when the request was last answered whole; crashes up to then are not held against it.
-	cleared time.Time
-	// witnessed says that this VM itself has seen a crash, or the whole answer.
-	witnessed bool
-	// own are the crashes that only this VM has seen, as far as it knows.
-	own []string
-	// trials counts the times that the request was let run after it had been refused, the last time at trialAt.
-	trials  int
-	trialAt time.Time
-	// running counts the copies on each endpoint.
+	// lastCrash is the time of the latest crash.
+	lastCrash time.Time
+	// clearedAt is when the request last received a complete response; crashes up to then are not held against it.
+	clearedAt time.Time
+	// observed says that this VM itself has seen a crash of the request, or its complete response.
+	observed bool
+	// localOnly are the crashes that no other VM has reported to this one: they may be retracted.
+	localOnly []string
+	// trials counts the times that the request was allowed to run although it was refused; lastTrial is the latest.
+	trials    int
+	lastTrial time.Time
+	// running counts the copies of the request by endpoint.
 	running map[string]int
 }
 
 // NewTable returns an empty Table.
 func NewTable(l Limits) *Table {
-	return &Table{limits: l, entries: map[uint64]*entry{}, perAccount: map[string]int{}}
+	return &Table{limits: l, entries: map[uint64]*entry{}, suspectsPerAccount: map[string]int{}}
 }
 
-// Empty reports whether nothing is known of any request.
+// Empty reports whether the table has no entries.
 func (t *Table) Empty() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.entries) == 0
 }
 
-// Admit decides whether a request may run. After Refuse the duration says when to come back. After
-// Wait, and after Isolate while a copy runs, Endpoints tells where a copy may join.
+// Admit decides whether a request may run. With Refuse, the duration is the time after which the request will be allowed
+// again. With Wait, and with Isolate while a copy runs, Endpoints returns the endpoints on which the request may join a
+// copy.
 func (t *Table) Admit(now time.Time, fingerprint uint64) (Decision, time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,7 +130,7 @@
 	crashes := len(e.crashes)
 	switch {
 	case crashes >= t.limits.Crashes:
-		return Refuse, t.limits.Memory - now.Sub(e.last)
+		return Refuse, t.limits.Retention - now.Sub(e.lastCrash)
 	case crashes+len(e.running) >= t.limits.Crashes:
 		return Wait, 0
 	case crashes > 0:
@@ -145,8 +155,8 @@
 	return names
 }
 
-// Started says that a copy of the request begins to run on the endpoint. It reports false, and
-// counts nothing, if the endpoint could be one too many that the request crashes.
+// Started records that a copy of the request starts to run on the endpoint. It reports false, and records nothing, if the
+// copy must not run there, since the request could then crash more endpoints than the limit.
 func (t *Table) Started(now time.Time, fingerprint uint64, endpoint string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -165,9 +175,10 @@
 	return true
 }
 
-// Ended says that a copy has ended on the endpoint. whole says that it was answered whole, which
-// clears the request of its crashes. A crash is told by CrashSeen before Ended.
-func (t *Table) Ended(now time.Time, fingerprint uint64, endpoint string, whole bool) {
+// Ended records that a copy of the request no longer runs on the endpoint. complete says that it received a complete
+// response, which removes the crashes held against the request unless it is refused already. A crash must be recorded with
+// CrashSeen before Ended is called.
+func (t *Table) Ended(now time.Time, fingerprint uint64, endpoint string, complete bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.lookup(now, fingerprint)
@@ -178,57 +189,57 @@
 	if e.running[endpoint] <= 0 {
 		delete(e.running, endpoint)
 	}
-	if whole && len(e.crashes) < t.limits.Crashes {
-		t.clear(e)
+	if complete && len(e.crashes) < t.limits.Crashes {
+		t.removeCrashes(e)
 	}
-	t.drop(fingerprint, e)
+	t.deleteIfEmpty(fingerprint, e)
 }
 
-// CrashSeen holds a crash against the request. The same crash counts once. It returns the crashes
-// now held against the request.
+// CrashSeen records a crash against the request, without a client account. The same crash counts once. It returns the number
+// of crashes held against the request.
 func (t *Table) CrashSeen(now time.Time, fingerprint uint64, crash string) int {
 	return t.Accuse(now, "", fingerprint, crash)
 }
 
-// Accuse is CrashSeen for a request of a client account, for a crash that another VM has seen. An account with many
-// crashing requests makes room with its own.
+// Accuse records a crash that another VM has reported, for a request of the client account. It returns the number of
+// crashes held against the request. In a full table, the account with the most suspects loses its oldest one.
 func (t *Table) Accuse(now time.Time, account string, fingerprint uint64, crash string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e, _ := t.accuse(now, account, fingerprint, crash)
-	e.own = slices.DeleteFunc(e.own, func(c string) bool { return c == crash })
+	e, _ := t.addCrash(now, account, fingerprint, crash)
+	e.localOnly = slices.DeleteFunc(e.localOnly, func(c string) bool { return c == crash })
 	return len(e.crashes)
 }
 
-// Witness is Accuse for a crash that this VM itself has seen.
-func (t *Table) Witness(now time.Time, account string, fingerprint uint64, crash string) {
+// AddObservedCrash records a crash that this VM itself has seen, for a request of the client account.
+func (t *Table) AddObservedCrash(now time.Time, account string, fingerprint uint64, crash string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e, added := t.accuse(now, account, fingerprint, crash)
+	e, added := t.addCrash(now, account, fingerprint, crash)
 	if added {
-		e.own = append(e.own, crash)
+		e.localOnly = append(e.localOnly, crash)
 	}
-	e.witnessed = true
+	e.observed = true
 }
 
-// accuse holds a crash against a request. It reports whether it was not held before. The caller holds mu.
-func (t *Table) accuse(now time.Time, account string, fingerprint uint64, crash string) (*entry, bool) {
+// addCrash records a crash against a request. It reports whether the crash is new. The caller holds mu.
+func (t *Table) addCrash(now time.Time, account string, fingerprint uint64, crash string) (*entry, bool) {
 	e := t.lookup(now, fingerprint)
 	if e == nil {
 		e = &entry{running: map[string]int{}}
 		t.entries[fingerprint] = e
 	}
-	if slices.Contains(e.crashes, crash) || !now.After(e.cleared) {
-		t.drop(fingerprint, e)
+	if slices.Contains(e.crashes, crash) || !now.After(e.clearedAt) {
+		t.deleteIfEmpty(fingerprint, e)
 		return e, false
 	}
 	if len(e.crashes) == 0 {
-		t.makeRoom(account)
+		t.evict(account)
 		e.account = account
-		t.crashed++
-		t.perAccount[account]++
+		t.suspects++
+		t.suspectsPerAccount[account]++
 	}
-	e.last = now
+	e.lastCrash = now
 	if len(e.crashes) == t.limits.Crashes {
 		return e, false
 	}
@@ -236,136 +247,139 @@
 	return e, true
 }
 
-// Vouch says that this VM itself has seen that a request was answered whole.
-func (t *Table) Vouch(fingerprint uint64) {
+// MarkObserved marks what is recorded of the request as seen by this VM itself, so that it is reported to other VMs.
+func (t *Table) MarkObserved(fingerprint uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entries[fingerprint]; e != nil {
-		e.witnessed = true
+		e.observed = true
 	}
 }
 
-// Retract takes back a crash that only this VM has seen, and that has turned out to be none.
+// Retract removes a crash that no other VM has reported, after the endpoint has turned out not to have crashed. A crash
+// that another VM has reported stays.
 func (t *Table) Retract(fingerprint uint64, crash string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[fingerprint]
-	if e == nil || !slices.Contains(e.own, crash) {
+	if e == nil || !slices.Contains(e.localOnly, crash) {
 		return
 	}
-	e.own = slices.DeleteFunc(e.own, func(c string) bool { return c == crash })
-	left := slices.DeleteFunc(slices.Clone(e.crashes), func(c string) bool { return c == crash })
-	if len(left) == 0 {
-		t.clear(e)
-		t.drop(fingerprint, e)
+	e.localOnly = slices.DeleteFunc(e.localOnly, func(c string) bool { return c == crash })
+	remaining := slices.DeleteFunc(slices.Clone(e.crashes), func(c string) bool { return c == crash })
+	if len(remaining) == 0 {
+		t.removeCrashes(e)
+		t.deleteIfEmpty(fingerprint, e)
 		return
 	}
-	e.crashes = left
+	e.crashes = remaining
 }
 
-// Acquit drops whatever is held against a request that was answered whole at that time: it does not crash every
-// endpoint. It reports whether anything was held against it.
-func (t *Table) Acquit(at time.Time, fingerprint uint64) bool {
+// Clear removes the crashes held against a request, also a refused one, that received a complete response at the given time:
+// it does not crash every endpoint. It reports whether any crash was removed.
+func (t *Table) Clear(at time.Time, fingerprint uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[fingerprint]
 	if e == nil || len(e.crashes) == 0 {
 		return false
 	}
-	t.clear(e)
-	if at.After(e.cleared) {
-		e.cleared = at
+	t.removeCrashes(e)
+	if at.After(e.clearedAt) {
+		e.clearedAt = at
 	}
 	return true
 }
 
-// Cleared drops the crashes held against a request that has since been answered whole, unless it
-// is refused already.
-func (t *Table) Cleared(now time.Time, fingerprint uint64) {
+// ClearUnlessRefused removes the crashes held against a request that has received a complete response since, unless the
+// request is refused already.
+func (t *Table) ClearUnlessRefused(now time.Time, fingerprint uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.lookup(now, fingerprint)
 	if e == nil || len(e.crashes) >= t.limits.Crashes {
 		return
 	}
-	t.clear(e)
-	t.drop(fingerprint, e)
+	t.removeCrashes(e)
+	t.deleteIfEmpty(fingerprint, e)
 }
 
-// Notice tells of one crash held against a request, or, if Cleared, that the request was answered whole.
+// Notice reports one crash held against a request or, if Cleared is set, that the request received a complete response.
 type Notice struct {
 	Account     string
 	Fingerprint uint64
 	Crash       string
 	Cleared     bool
-	// Witnessed says that the VM that holds the notice has seen that itself, or another crash of the request.
+	// Witnessed says that the VM that holds the report has seen the crash or response itself, or another crash of the request.
 	Witnessed bool
-	// Age is how long ago that was seen.
+	// Age is how long ago the crash or response was seen.
 	Age time.Duration
 }
 
-// Notices returns every crash that is held against a request.
+// Notices returns reports of the crashes and clearances of all requests.
 func (t *Table) Notices(now time.Time) []Notice {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []Notice
 	for fingerprint, e := range t.entries {
-		list = append(list, t.notices(now, fingerprint, e)...)
+		list = append(list, t.reportsOf(now, fingerprint, e)...)
 	}
 	return list
 }
 
-// Of returns what is known of a request.
-func (t *Table) Of(now time.Time, fingerprint uint64) []Notice {
+// ReportsOf returns reports of the crashes of one request, or of its clearance.
+func (t *Table) ReportsOf(now time.Time, fingerprint uint64) []Notice {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.lookup(now, fingerprint); e != nil {
-		return t.notices(now, fingerprint, e)
+		return t.reportsOf(now, fingerprint, e)
 	}
 	return nil
 }
 
-// notices returns what is known of a request. The caller holds mu.
-func (t *Table) notices(now time.Time, fingerprint uint64, e *entry) []Notice {
-	if len(e.crashes) > 0 && now.Sub(e.last) >= t.limits.Memory {
+// reportsOf returns reports of the crashes of e, or of its clearance. The caller holds mu.
+func (t *Table) reportsOf(now time.Time, fingerprint uint64, e *entry) []Notice {
+	if len(e.crashes) > 0 && now.Sub(e.lastCrash) >= t.limits.Retention {
 		return nil
 	}
 	var list []Notice
 	for _, crash := range e.crashes {
-		list = append(list, Notice{Account: e.account, Fingerprint: fingerprint, Crash: crash, Witnessed: e.witnessed, Age: now.Sub(e.last)})
+		list = append(list, Notice{Account: e.account, Fingerprint: fingerprint, Crash: crash, Witnessed: e.observed, Age: now.Sub(e.lastCrash)})
 	}
-	if len(list) == 0 && !e.cleared.IsZero() {
-		list = append(list, Notice{Account: e.account, Fingerprint: fingerprint, Cleared: true, Witnessed: e.witnessed, Age: now.Sub(e.cleared)})
+	if len(list) == 0 && !e.clearedAt.IsZero() {
+		list = append(list, Notice{Account: e.account, Fingerprint: fingerprint, Cleared: true, Witnessed: e.observed, Age: now.Sub(e.clearedAt)})
 	}
 	return list
 }
 
-// trialAfter is how long a request has to have been refused for each of its trials. One that was taken for another by
-// chance must not be refused for long; one that does crash endpoints ends another one each time.
-var trialAfter = [...]time.Duration{5 * time.Minute, 30 * time.Minute}
+// trialDelays are the times for which a request must have been refused before each of its trials: since its latest crash,
+// or since the previous trial. A request that is refused by coincidence must not be refused for long, but one that does
+// crash endpoints crashes another one in each trial.
+var trialDelays = [...]time.Duration{5 * time.Minute, 30 * time.Minute}
 
-// Trial reports whether a request that is refused may run once more, and counts that.
-func (t *Table) Trial(now time.Time, fingerprint uint64) bool {
+// AllowTrial reports whether a refused request may run once more, and counts the trial if so.
+func (t *Table) AllowTrial(now time.Time, fingerprint uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.lookup(now, fingerprint)
-	if e == nil || len(e.crashes) < t.limits.Crashes || e.trials >= len(trialAfter) {
+	if e == nil || len(e.crashes) < t.limits.Crashes || e.trials >= len(trialDelays) {
 		return false
 	}
-	since := e.last
-	if e.trialAt.After(since) {
-		since = e.trialAt
+	since := e.lastCrash
+	if e.lastTrial.After(since) {
+		since = e.lastTrial
 	}
-	if now.Sub(since) < trialAfter[e.trials] {
+	if now.Sub(since) < trialDelays[e.trials] {
 		return false
 	}
 	e.trials++
-	e.trialAt = now
+	e.lastTrial = now
 	return true
 }
 
-// Exonerate notes that a request was answered whole lately, as this VM knows, so that other VMs hear of it.
-func (t *Table) Exonerate(now time.Time, account string, fingerprint uint64) {
+// RecordClearance records that a request has recently received a complete response, as this VM has seen, so that other VMs
+// are notified of it. It removes any crashes held against the request.
+func (t *Table) RecordClearance(now time.Time, account string, fingerprint uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.lookup(now, fingerprint)
@@ -373,11 +387,11 @@
 		e = &entry{account: account, running: map[string]int{}}
 		t.entries[fingerprint] = e
 	}
-	t.clear(e)
-	e.cleared, e.witnessed = now, true
+	t.removeCrashes(e)
+	e.clearedAt, e.observed = now, true
 }
 
-// SuspectEndpoints returns the endpoints on which copies of other requests with crashes run.
+// SuspectEndpoints returns the endpoints on which copies of other suspects run.
 func (t *Table) SuspectEndpoints(fingerprint uint64) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -393,73 +407,73 @@
 	return names
 }
 
-// clearedMemory is how long it is known that a request was answered whole after crashes: longer than others
-// take to hear of it.
-const clearedMemory = 30 * time.Second
+// clearanceRetention is how long a clearance is kept: longer than it takes to reach the other VMs.
+const clearanceRetention = 30 * time.Second
 
-// Sweep forgets what is no longer held against requests.
+// Sweep removes expired crashes and clearances.
 func (t *Table) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for fingerprint, e := range t.entries {
-		if now.Sub(e.cleared) >= clearedMemory {
-			e.cleared = time.Time{}
+		if now.Sub(e.clearedAt) >= clearanceRetention {
+			e.clearedAt = time.Time{}
 		}
 		if t.lookup(now, fingerprint) != nil {
-			t.drop(fingerprint, e)
+			t.deleteIfEmpty(fingerprint, e)
 		}
 	}
 }
 
-// lookup returns the entry, after forgetting crashes older than memory. The caller holds mu.
+// lookup returns the entry of a fingerprint, or nil, after it has removed expired crashes. The caller holds mu.
 func (t *Table) lookup(now time.Time, fingerprint uint64) *entry {
 	e := t.entries[fingerprint]
 	if e == nil {
 		return nil
 	}
-	if len(e.crashes) > 0 && now.Sub(e.last) >= t.limits.Memory {
-		t.clear(e)
-		t.drop(fingerprint, e)
+	if len(e.crashes) > 0 && now.Sub(e.lastCrash) >= t.limits.Retention {
+		t.removeCrashes(e)
+		t.deleteIfEmpty(fingerprint, e)
 	}
 	return t.entries[fingerprint]
 }
 
-// clear forgets the crashes of e. The caller holds mu.
-func (t *Table) clear(e *entry) {
+// removeCrashes removes the crashes of e. The caller holds mu.
+func (t *Table) removeCrashes(e *entry) {
 	if len(e.crashes) > 0 {
-		t.crashed--
-		if t.perAccount[e.account]--; t.perAccount[e.account] == 0 {
-			delete(t.perAccount, e.account)
+		t.suspects--
+		if t.suspectsPerAccount[e.account]--; t.suspectsPerAccount[e.account] == 0 {
+			delete(t.suspectsPerAccount, e.account)
 		}
 	}
-	e.crashes, e.own = nil, nil
+	e.crashes, e.localOnly = nil, nil
 }
 
-// drop deletes e if nothing is known of it. The caller holds mu.
-func (t *Table) drop(fingerprint uint64, e *entry) {
-	if len(e.crashes) == 0 && len(e.running) == 0 && e.cleared.IsZero() {
+// deleteIfEmpty deletes e if it has no crashes, running copies or clearance. The caller holds mu.
+func (t *Table) deleteIfEmpty(fingerprint uint64, e *entry) {
+	if len(e.crashes) == 0 && len(e.running) == 0 && e.clearedAt.IsZero() {
 		delete(t.entries, fingerprint)
 	}
 }
 
-// makeRoom forgets the oldest crashes while the table is full: those of the client account with the most, so
-// that no account drives out what is known of others. The caller holds mu.
-func (t *Table) makeRoom(account string) {
-	for t.crashed >= t.limits.Entries {
-		most := account
-		for name, n := range t.perAccount {
-			if n > t.perAccount[most] || n == t.perAccount[most] && name < most && most != account {
-				most = name
+// evict removes the crashes of the oldest suspects until the table has room for one more. The suspects are those of the
+// client account that has the most, so that no account can displace the suspects of others; account is the one to make room
+// for, preferred among equals. The caller holds mu.
+func (t *Table) evict(account string) {
+	for t.suspects >= t.limits.Entries {
+		largest := account
+		for name, n := range t.suspectsPerAccount {
+			if n > t.suspectsPerAccount[largest] || n == t.suspectsPerAccount[largest] && name < largest && largest != account {
+				largest = name
 			}
 		}
 		var oldest *entry
 		var key uint64
 		for fingerprint, e := range t.entries {
-			if len(e.crashes) > 0 && e.account == most && (oldest == nil || e.last.Before(oldest.last)) {
+			if len(e.crashes) > 0 && e.account == largest && (oldest == nil || e.lastCrash.Before(oldest.lastCrash)) {
 				oldest, key = e, fingerprint
 			}
 		}
-		t.clear(oldest)
-		t.drop(key, oldest)
+		t.removeCrashes(oldest)
+		t.deleteIfEmpty(key, oldest)
 	}
 }
