--- a/pkg/memory/budget.go
+++ b/pkg/memory/budget.go
@@ -57,7 +57,7 @@
 // ReadAll reads src to its end, but at most limit bytes; a limit of 0 means no limit. size is the announced size of src, or
 // -1 if it is not known. The buffer grows with the bytes that have arrived, not with the announced size, so that a false
 // announcement reserves no memory. The data read so far is returned also with an error. held is the number of bytes
-// reserved for the buffer, which the caller must give back with Give, also after an error.
+// reserved for the buffer, which the caller must release, also after an error.
 func (b *Budget) ReadAll(src io.Reader, size, limit int64) (data []byte, held int64, err error) {
 	first := int64(initialBufferSize)
 	if size >= 0 {
--- a/pkg/suspect/syncer.go
+++ b/pkg/suspect/syncer.go
@@ -39,7 +39,7 @@
 // Share exchanges crash reports with the other VMs that dispatch directly. Each request has homesPerRequest home VMs, chosen
 // by rendezvous hash, which count its crashes for the whole fleet and notify all VMs of a request with several crashes. What
 // was sent is remembered for each incarnation of a VM. What could not be sent is sent later: to VMs that were unreachable,
-// have just started, or were paused. Share is safe for concurrent use.
+// have just started, or were paused. All methods are safe for concurrent use.
 type Share struct {
 	self     string
 	table    *Table
--- a/pkg/suspect/table.go
+++ b/pkg/suspect/table.go
@@ -73,7 +73,7 @@
 )
 
 // Table records the crashes held against each fingerprint, and the endpoints on which copies of the request run.
-// It is safe for concurrent use. Its methods take the current time as an argument.
+// It is safe for concurrent use. Methods that need the current time take it as an argument.
 type Table struct {
 	limits Limits
 
