--- a/pkg/lease/chart.go
+++ b/pkg/lease/chart.go
@@ -28,5 +28,5 @@
 	[]chart.State{stateIdle, stateClaiming, stateHeld, stateProvisional},
 	[]chart.Event{eventClaim, eventGranted, eventRefused, eventTake, eventLapsed, eventSuperseded, eventRelease})
 
-// Chart returns the state chart of a lease's life.
+// Chart returns the state chart of a VM's right to one lease.
 func Chart() *chart.Chart { return leaseChart }
--- a/pkg/lease/claim.go
+++ b/pkg/lease/claim.go
@@ -10,9 +10,10 @@
 	"github.com/mallowlink/mallowlink/pkg/membership"
 )
 
-// open reports whether this VM may claim the lease at now, provided that window and known hold. Otherwise it returns when that may change, zero if nothing foreseeable will do it.
-// m.mu is held.
-func (m *Manager) open(l lease, exists bool, now time.Time) (bool, time.Time) {
+// claimable reports whether the lease is free for this VM to claim at now, provided that claimWindowOpen holds and
+// every VM knows of this one (see unawareVMs). Otherwise claimable returns the time at which that may change,
+// zero if it cannot be foreseen. m.mu is held.
+func (m *Manager) claimable(l lease, exists bool, now time.Time) (bool, time.Time) {
 	if !exists {
 		return true, time.Time{}
 	}
@@ -29,74 +30,76 @@
 	if s.over() {
 		return true, time.Time{}
 	}
-	due := m.lapse(s)
+	due := m.lapseTime(s)
 	return !due.After(now), due
 }
 
-// lapse returns when a session that is not renewed has lapsed in the eyes of this VM.
-func (m *Manager) lapse(s session) time.Time {
-	return s.since.Add(max(s.Duration, m.cfg.Duration) + m.cfg.Margin)
+// lapseTime returns the time from which this VM considers the session lapsed if it is not renewed.
+func (m *Manager) lapseTime(s session) time.Time {
+	return s.firstSeen.Add(max(s.Duration, m.cfg.Duration) + m.cfg.Margin)
 }
 
-// strangers returns the VMs that could act on their peers' word that the table is down without this VM's
-// word: those that live, and had not listed this VM's session when they last renewed their own. Sessions
-// end after all rights of their VMs have lapsed. m.mu is held.
-func (m *Manager) strangers() []string {
+// unawareVMs returns the VMs that may not know of this VM: those that live, and had not listed this VM's session
+// when they last renewed their own. If the table goes down for them, they extend their leases without waiting
+// for this VM to report the same. The session of a VM ends only after all its rights have lapsed. m.mu is held.
+func (m *Manager) unawareVMs() []string {
 	var list []string
 	for vm, s := range m.sessions {
 		if vm == m.cfg.ID || s.over() || !s.malformed && m.fleet.Gone(vm, s.Incarnation) {
 			continue
 		}
-		if s.malformed || s.Seen < m.own.created {
+		if s.malformed || s.SessionVersionSeen < m.own.created {
 			list = append(list, vm)
 		}
 	}
 	return list
 }
 
-// holdBack logs why this VM claims no lease for now, and because of which VMs, once for each change.
-// m.mu is held.
-func (m *Manager) holdBack(reason string, because []string) {
-	slices.Sort(because)
-	state := reason + " " + strings.Join(because, ",")
+// setHeldBack records why this VM claims no lease for now, and because of which VMs, and logs each change. An
+// empty reason says that the VM may claim. m.mu is held.
+func (m *Manager) setHeldBack(reason string, vms []string) {
+	slices.Sort(vms)
+	state := reason + " " + strings.Join(vms, ",")
 	if m.heldBack == state {
 		return
 	}
 	m.heldBack = state
-	fields := logrus.Fields{"event": "claims_free"}
+	fields, message := logrus.Fields{"event": "claims_free"}, "this VM may claim leases"
 	if reason != "" {
-		fields = logrus.Fields{"event": "claims_held_back", "reason": reason, "vms": strings.Join(because, ",")}
+		fields = logrus.Fields{"event": "claims_held_back", "reason": reason, "vms": strings.Join(vms, ",")}
+		message = "this VM claims no leases for now"
 	}
-	m.log.WithFields(fields).Info()
+	m.log.WithFields(fields).Info(message)
 }
 
-// lingering returns the earlier holders whose orders may still arrive after a claim of the lease:
-// those that have neither handed over nor are proven gone. The successors are among them unless the
-// table has answered this VM from before the row's last sign of life on, because one of them may have
-// taken over without the table. m.mu is held.
-func (m *Manager) lingering(l lease) []successor {
+// lingeringHolders returns the earlier holders whose orders may still arrive after a claim of the lease:
+// those that have neither handed over nor are proven gone. A successor may have taken the lease over
+// without the table, so the successors are included unless the table has responded to this VM without a
+// break since before the last renewal of the holder's session, or since before the last write of a row
+// that names no holder. m.mu is held.
+func (m *Manager) lingeringHolders(l lease) []vmIncarnation {
 	if l.version == 0 {
 		return nil
 	}
-	suspects := slices.Clone(l.Lingering)
-	sign := l.before
+	candidates := slices.Clone(l.LingeringHolders)
+	beforeLastWrite := l.previousLastSeen
 	if l.Holder != "" {
-		suspects = append(suspects, successor{VM: l.Holder, Incarnation: l.Incarnation})
+		candidates = append(candidates, vmIncarnation{VM: l.Holder, Incarnation: l.Incarnation})
 		if s, ok := m.sessions[l.Holder]; ok && s.Incarnation == l.Incarnation {
-			sign = s.before
+			beforeLastWrite = s.previousLastSeen
 		} else {
-			sign = time.Time{}
+			beforeLastWrite = time.Time{}
 		}
 	}
-	if !m.upBefore(sign) {
-		suspects = append(suspects, l.Successors...)
+	if !m.upSinceBefore(beforeLastWrite) {
+		candidates = append(candidates, l.Successors...)
 	}
-	return m.notGone(suspects)
+	return m.notGone(candidates)
 }
 
-// notGone returns the VMs that are not proven gone, each once. m.mu is held.
-func (m *Manager) notGone(vms []successor) []successor {
-	var left []successor
+// notGone returns the VMs that are not proven gone, without duplicates. m.mu is held.
+func (m *Manager) notGone(vms []vmIncarnation) []vmIncarnation {
+	var left []vmIncarnation
 	for _, s := range vms {
 		if !m.fleet.Gone(s.VM, s.Incarnation) && !slices.Contains(left, s) {
 			left = append(left, s)
@@ -105,23 +108,24 @@
 	return left
 }
 
-// upBefore reports whether the table has answered without a break since t or before. m.mu is held.
-func (m *Manager) upBefore(t time.Time) bool {
+// upSinceBefore reports whether the table has responded without a break since t or earlier. m.mu is held.
+func (m *Manager) upSinceBefore(t time.Time) bool {
 	return !m.upSince.IsZero() && !t.Before(m.upSince)
 }
 
-// planSessions ends the lapsed sessions of VMs that hold no lease, and deletes the rows of those
-// that are long gone. One VM does it for each row. m.mu is held.
-func (m *Manager) planSessions(p *plan, live []membership.Member, now time.Time) {
+// planSessionCleanup adds the end of lapsed sessions that no claim of the plan ends, and the deletion of the rows
+// of sessions that ended long ago. For each row only one VM, the first in rendezvous order, does this. m.mu is
+// held.
+func (m *Manager) planSessionCleanup(p *plan, live []membership.Member, now time.Time) {
 	for vm, s := range m.sessions {
-		if vm == m.cfg.ID || s.malformed || membership.Rank(sessionPrefix+vm, ids(live))[0] != m.cfg.ID {
+		if vm == m.cfg.ID || s.malformed || membership.Rank(sessionPrefix+vm, memberIDs(live))[0] != m.cfg.ID {
 			continue
 		}
 		if _, planned := p.ends[vm]; planned {
 			continue
 		}
 		switch {
-		case !s.over() && !m.lapse(s).After(now):
+		case !s.over() && !m.lapseTime(s).After(now):
 			p.end(s)
 		case s.over():
 			m.planDelete(p, s, now)
@@ -129,20 +133,21 @@
 	}
 }
 
-// unprovenRetention is how many times longer the session row of a VM stays that has lapsed but is not
-// proven gone: it may still come back.
+// unprovenRetention is the factor by which the session row of a VM that is not proven gone is kept longer
+// than that of others, because the VM may still come back.
 const unprovenRetention = 10
 
-// planDelete adds the deletion of a session row that no lease row names. m.mu is held.
+// planDelete adds the deletion of a session row if its retention has passed and no lease row names the VM. m.mu
+// is held.
 func (m *Manager) planDelete(p *plan, s session, now time.Time) {
-	if now.Sub(s.since) < m.cfg.SessionRetention {
+	if now.Sub(s.firstSeen) < m.cfg.SessionRetention {
 		return
 	}
-	if !s.Closed && !m.fleet.Gone(s.VM, s.Incarnation) && now.Sub(s.since) < unprovenRetention*m.cfg.SessionRetention {
+	if !s.Closed && !m.fleet.Gone(s.VM, s.Incarnation) && now.Sub(s.firstSeen) < unprovenRetention*m.cfg.SessionRetention {
 		return
 	}
 	for _, l := range m.leases {
-		if l.Holder == s.VM || slices.ContainsFunc(l.Successors, func(o successor) bool { return o.VM == s.VM }) {
+		if l.Holder == s.VM || slices.ContainsFunc(l.Successors, func(o vmIncarnation) bool { return o.VM == s.VM }) {
 			return
 		}
 	}
--- a/pkg/lease/directory.go
+++ b/pkg/lease/directory.go
@@ -10,46 +10,47 @@
 	"github.com/mallowlink/mallowlink/pkg/platform"
 )
 
-// Directory is what the rows say of the VMs that may hold leases, and of who holds which.
+// Directory lists the VMs that may hold leases and the holder of each lease, according to the rows of the table.
 type Directory struct {
 	Holders map[string]Holder
-	// VMs are those whose sessions are not over, in the order in which other VMs turn to them.
+	// VMs are those whose sessions are not over, in the order in which other VMs should ask them.
 	VMs []SessionVM
 }
 
-// SessionVM is a VM with a session.
+// SessionVM is a VM as its session row describes it.
 type SessionVM struct {
 	ID          string
 	Incarnation string
 	Address     string
-	// Capacity says how much work the VM can bear, compared with others.
+	// Capacity is the VM's relative capacity for work, compared with other VMs.
 	Capacity float64
 	Draining bool
 }
 
-// ReadDirectory reads rows of the table. Rows that cannot be read are left out.
+// ReadDirectory builds a directory from rows of the table. Rows that cannot be decoded are skipped.
 func ReadDirectory(rows []platform.Row) Directory {
 	d := Directory{Holders: map[string]Holder{}}
-	sessions, leases, _ := split(rows)
+	sessions, leases, _ := splitRows(rows)
 	for _, row := range sessions {
 		s, err := decodeSession(row)
 		if err != nil || s.over() {
 			continue
 		}
 		s.VM = strings.TrimPrefix(row.Key, sessionPrefix)
-		d.VMs = append(d.VMs, s.public())
+		d.VMs = append(d.VMs, s.toSessionVM())
 	}
 	for _, row := range leases {
 		l, err := decodeLease(row)
 		if err == nil && l.Holder != "" {
-			d.Holders[strings.TrimPrefix(row.Key, leasePrefix)] = l.public()
+			d.Holders[strings.TrimPrefix(row.Key, leasePrefix)] = l.toHolder()
 		}
 	}
 	OrderVMs(d.VMs)
 	return d
 }
 
-// Directory returns what the rows say, as this VM has listed them last.
+// Directory returns the directory according to the rows that this VM listed last. VMs that are proven gone are
+// left out; this VM is described by its own state.
 func (m *Manager) Directory() Directory {
 	d := Directory{Holders: map[string]Holder{}}
 	m.mu.RLock()
@@ -58,7 +59,7 @@
 		if vm == m.cfg.ID || s.malformed || s.over() || m.fleet.Gone(vm, s.Incarnation) {
 			continue
 		}
-		d.VMs = append(d.VMs, s.public())
+		d.VMs = append(d.VMs, s.toSessionVM())
 	}
 	if m.own.created != 0 && !m.closed {
 		d.VMs = append(d.VMs, SessionVM{
@@ -68,22 +69,23 @@
 	}
 	for name, l := range m.leases {
 		if l.Holder != "" && !l.malformed {
-			d.Holders[name] = l.public()
+			d.Holders[name] = l.toHolder()
 		}
 	}
 	OrderVMs(d.VMs)
 	return d
 }
 
-func (s sessionRow) public() SessionVM {
+func (s sessionRow) toSessionVM() SessionVM {
 	return SessionVM{ID: s.VM, Incarnation: s.Incarnation, Address: s.Address, Capacity: s.Capacity, Draining: s.Draining}
 }
 
-func (l leaseRow) public() Holder {
+func (l leaseRow) toHolder() Holder {
 	return Holder{VM: l.Holder, Incarnation: l.Incarnation, Address: l.Address, Fencing: l.Fencing}
 }
 
-// OrderVMs puts the VMs into one order on all VMs: those that drain last, the more able first.
+// OrderVMs sorts the VMs so that all VMs of the fleet get the same order: VMs that do not drain come first, then
+// those of higher capacity, then by the hash of the ID.
 func OrderVMs(vms []SessionVM) {
 	slices.SortFunc(vms, func(a, b SessionVM) int {
 		if a.Draining != b.Draining {
--- a/pkg/lease/fleet_test.go
+++ b/pkg/lease/fleet_test.go
@@ -13,12 +13,12 @@
 	"github.com/mallowlink/mallowlink/pkg/fleettest"
 )
 
-// fleet is a fleet with a test's checks.
+// fleet adds test assertions to a simulated fleet.
 type fleet struct {
 	*fleettest.Fleet
 	t *testing.T
-	// lines is the log of all VMs if the flag -logged is set.
-	lines bytes.Buffer
+	// logOutput is the log of all VMs if the flag -logged is set.
+	logOutput bytes.Buffer
 }
 
 // runFleet runs body in a synctest bubble with n VMs started.
@@ -31,14 +31,14 @@
 	})
 }
 
-// runFleetWith runs body in a synctest bubble with a fleet without VMs.
+// runFleetWith runs body in a synctest bubble with a fleet that has no VMs yet.
 func runFleetWith(t *testing.T, seed int64, body func(*fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{Fleet: fleettest.NewFleet(t.Context(), seed, nil), t: t}
 		if *logged {
 			log := logrus.New()
-			log.SetOutput(&f.lines)
+			log.SetOutput(&f.logOutput)
 			f.Log = log
 		}
 		defer f.Stop()
@@ -46,9 +46,9 @@
 	})
 }
 
-var logged = flag.Bool("logged", false, "print the VMs' logs of a schedule that fails")
+var logged = flag.Bool("logged", false, "print the logs of the VMs if a schedule fails")
 
-// holder waits for the lease's only holder.
+// holder waits until the lease has a holder, and requires that it is the only one.
 func (f *fleet) holder(name string, limit time.Duration) *fleettest.VM {
 	f.t.Helper()
 	v := f.WaitHolder(name, limit)
--- a/pkg/lease/fuzz_test.go
+++ b/pkg/lease/fuzz_test.go
@@ -11,7 +11,8 @@
 	"github.com/mallowlink/mallowlink/pkg/platform"
 )
 
-// FuzzRows feeds rows that another version or a fault may have written to the claim's decisions.
+// FuzzRows runs a manager on arbitrary session and lease rows, as another version of the program or a fault may
+// have written them. The manager must not panic.
 func FuzzRows(f *testing.F) {
 	f.Add([]byte(`{"vm":"x","incarnation":"1","counter":3,"duration_ns":3000000000}`), []byte(`{"holder":"x","incarnation":"1","fencing":1024}`))
 	f.Add([]byte(`{`), []byte(`[]`))
@@ -31,7 +32,7 @@
 		m := lease.NewManager(lease.Config{
 			ID: "me", Incarnation: "1", Names: names,
 			Period: fuzzTime / 10, Duration: fuzzTime / 5, Margin: fuzzTime / 50,
-		}, table, registry, nil, &giver{name: "none", order: make(chan struct{}, 1)}, fleettest.Quiet())
+		}, table, registry, nil, &engineOwner{lease: "none", sending: make(chan struct{}, 1)}, fleettest.Quiet())
 		m.Run(ctx)
 		_ = m.Snapshot()
 	})
--- a/pkg/lease/guard.go
+++ b/pkg/lease/guard.go
@@ -10,30 +10,30 @@
 	"github.com/mallowlink/mallowlink/pkg/membership"
 )
 
-// guardLoop checks the rights against the clock and the peers' word.
+// guardLoop periodically checks this VM's rights against the clock and against the peers' heartbeat responses.
 func (m *Manager) guardLoop(ctx context.Context) {
 	clock.Every(ctx, m.cfg.GuardInterval, func(time.Time) { m.guard(m.fleet.Live(), time.Now()) })
 }
 
-// guard extends or takes over leases while the table is down, ends those that have lapsed or that
-// another VM holds by a higher fencing number, and hands over those that stand elsewhere.
+// guard extends or takes over leases while the table is down, ends rights that have lapsed or for which
+// another VM claims a higher fencing number, and hands over leases that belong on other VMs.
 func (m *Manager) guard(live []membership.Member, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.yieldToClaims()
-	if base, ok := m.unanimous(now); ok {
-		m.extend(base, now)
+	if from, ok := m.tableDownForAll(now); ok {
+		m.extend(from, now)
 		m.takeOver(now)
 	}
 	for name, r := range m.rights {
-		if !m.valid(r, now) && (r.life.State() == stateHeld || r.life.State() == stateProvisional) {
+		if !m.valid(r, now) && (r.lifecycle.State() == stateHeld || r.lifecycle.State() == stateProvisional) {
 			m.lose(name, eventLapsed, nil)
 		}
 	}
 	m.rebalance(live, now)
 }
 
-// peers returns the other VMs that could claim leases once the table answers them. m.mu is held.
+// peers returns the other VMs that could claim leases once the table responds to them. m.mu is held.
 func (m *Manager) peers() []session {
 	var peers []session
 	for vm, s := range m.sessions {
@@ -44,46 +44,47 @@
 	return peers
 }
 
-// unanimous reports whether the table is down for this VM and for every peer by its own word, and
-// returns the earliest time after which all of them have said so. m.mu is held.
-func (m *Manager) unanimous(now time.Time) (time.Time, bool) {
+// tableDownForAll reports whether the table is down for this VM and, by its own report, for every peer. It
+// returns the send time of the oldest of the heartbeats that the peers answered with this report: after that
+// time all of them have reported it. m.mu is held.
+func (m *Manager) tableDownForAll(now time.Time) (time.Time, bool) {
 	if !m.upSince.IsZero() || !m.listed {
 		return time.Time{}, false
 	}
-	base := now
+	earliest := now
 	for _, s := range m.peers() {
 		answer, ok := m.fleet.Answer(s.VM, s.Incarnation)
 		if !ok || !answer.Beat.Status.StoreDown {
 			return time.Time{}, false
 		}
-		if answer.Sent.Before(base) {
-			base = answer.Sent
+		if answer.Sent.Before(earliest) {
+			earliest = answer.Sent
 		}
 	}
-	return base, clock.Elapsed(base, now) < m.cfg.Duration
+	return earliest, clock.Elapsed(earliest, now) < m.cfg.Duration
 }
 
-// extend lets the rights that are still good count from base on, and the rows if they are still
-// known to be current. What has lapsed stays so. m.mu is held.
-func (m *Manager) extend(base, now time.Time) {
-	if clock.Elapsed(m.rowsBase, now) < m.cfg.Duration && base.After(m.rowsBase) {
-		m.rowsBase = base
+// extend moves the start of validity of the rights that have not lapsed to from, and likewise the time up to
+// which the rows are known to be current. What has lapsed stays lapsed. m.mu is held.
+func (m *Manager) extend(from, now time.Time) {
+	if clock.Elapsed(m.rowsCurrentAt, now) < m.cfg.Duration && from.After(m.rowsCurrentAt) {
+		m.rowsCurrentAt = from
 	}
-	if clock.Elapsed(m.own.base, now) < m.cfg.Duration && base.After(m.own.base) {
-		m.own.base = base
+	if clock.Elapsed(m.own.validFrom, now) < m.cfg.Duration && from.After(m.own.validFrom) {
+		m.own.validFrom = from
 	}
 	for _, r := range m.rights {
-		if r.life.State() == stateProvisional && m.valid(r, now) && base.After(r.base) {
-			r.base = base
+		if r.lifecycle.State() == stateProvisional && m.valid(r, now) && from.After(r.validFrom) {
+			r.validFrom = from
 		}
 	}
 }
 
-// yieldToClaims ends rights that a peer has a higher fencing number for. A claim that is under way has no
-// number yet: the table decides on it. m.mu is held.
+// yieldToClaims ends rights for which a peer has a higher fencing number. A claim that is in flight has no
+// number yet: the table decides whether it succeeds. m.mu is held.
 func (m *Manager) yieldToClaims() {
 	for name, r := range m.rights {
-		if state := r.life.State(); state != stateHeld && state != stateProvisional {
+		if state := r.lifecycle.State(); state != stateHeld && state != stateProvisional {
 			continue
 		}
 		if m.highestClaim(name, true) > r.grant.Fencing {
@@ -92,13 +93,13 @@
 	}
 }
 
-// highestClaim returns the highest fencing number by which another VM claims the lease, counting
-// those that are proven gone or not. m.mu is held.
-func (m *Manager) highestClaim(name string, withGone bool) uint64 {
+// highestClaim returns the highest fencing number with which another VM claims the lease. includeGone says
+// whether VMs that are proven gone count. m.mu is held.
+func (m *Manager) highestClaim(name string, includeGone bool) uint64 {
 	highest := uint64(0)
 	for vm, s := range m.sessions {
 		answer, ok := m.fleet.Answer(vm, s.Incarnation)
-		if !ok || !withGone && m.fleet.Gone(vm, s.Incarnation) {
+		if !ok || !includeGone && m.fleet.Gone(vm, s.Incarnation) {
 			continue
 		}
 		for _, claim := range answer.Beat.Status.Claims {
@@ -110,11 +111,11 @@
 	return highest
 }
 
-// takeOver takes, while the table is down for all, the leases that this VM was about to hand over,
-// and those whose holder has handed over or is proven gone and for which this VM is the first
-// successor that is not. m.mu is held.
+// takeOver takes leases over provisionally while the table is down for all VMs: those whose rows still name this VM
+// although it has given up or lost its right, and those whose holder has handed over or is proven gone and for which this VM is the first
+// successor that is not proven gone. m.mu is held.
 func (m *Manager) takeOver(now time.Time) {
-	if m.draining || m.stale() || clock.Elapsed(m.rowsBase, now) >= m.cfg.Duration {
+	if m.draining || m.leaseRowsStale() || clock.Elapsed(m.rowsCurrentAt, now) >= m.cfg.Duration {
 		return
 	}
 	for name, l := range m.leases {
@@ -122,34 +123,36 @@
 			continue
 		}
 		if !m.mine(l) && l.Holder != "" && !m.fleet.Gone(l.Holder, l.Incarnation) {
-			delete(m.goneSince, name)
+			delete(m.holderGoneSince, name)
 			continue
 		}
-		if _, ok := m.goneSince[name]; !ok {
-			m.goneSince[name] = now
+		if _, ok := m.holderGoneSince[name]; !ok {
+			m.holderGoneSince[name] = now
 		}
-		rank, first := m.firstSuccessor(l)
-		base, fresh := m.answersSince(m.goneSince[name], now)
-		if first && fresh && !m.believed(name) && m.highestClaim(name, false) <= l.Fencing {
-			m.take(name, l, rank, base)
+		rank, first := m.successorRank(l)
+		from, fresh := m.allAnsweredSince(m.holderGoneSince[name], now)
+		if first && fresh && !m.hasRight(name) && m.highestClaim(name, false) <= l.Fencing {
+			m.takeProvisionally(name, l, rank, from)
 		}
 	}
 }
 
-// stale reports whether a peer has listed a lease row that this VM has not. m.mu is held.
-func (m *Manager) stale() bool {
+// leaseRowsStale reports whether a peer has listed a newer version of the lease rows than this VM, or may have.
+// m.mu is held.
+func (m *Manager) leaseRowsStale() bool {
 	for _, s := range m.peers() {
 		answer, ok := m.fleet.Answer(s.VM, s.Incarnation)
-		if !ok || answer.Beat.Status.LeaseSeen > m.leaseSeen {
+		if !ok || answer.Beat.Status.LeaseSeen > m.leaseVersionSeen {
 			return true
 		}
 	}
 	return false
 }
 
-// firstSuccessor returns this VM's rank, 0 if the row names it as the holder and its place among the
-// successors counted from 1 otherwise, and whether all before it are proven gone. m.mu is held.
-func (m *Manager) firstSuccessor(l lease) (int, bool) {
+// successorRank returns this VM's rank for a takeover, and whether the VM may take over: all before it must be
+// proven gone. The rank is 0 if the row names this VM as the holder, and otherwise its position among the
+// successors counted from 1. m.mu is held.
+func (m *Manager) successorRank(l lease) (int, bool) {
 	if m.mine(l) {
 		return 0, true
 	}
@@ -164,35 +167,35 @@
 	return 0, false
 }
 
-// answersSince reports whether every peer has answered a heartbeat sent after since, and returns
-// the earliest of these. m.mu is held.
-func (m *Manager) answersSince(since, now time.Time) (time.Time, bool) {
-	base := now
+// allAnsweredSince reports whether every peer has answered a heartbeat sent after since, and returns
+// the earliest send time of these heartbeats. m.mu is held.
+func (m *Manager) allAnsweredSince(since, now time.Time) (time.Time, bool) {
+	earliest := now
 	for _, s := range m.peers() {
 		answer, ok := m.fleet.Answer(s.VM, s.Incarnation)
 		if !ok || !answer.Sent.After(since) {
 			return time.Time{}, false
 		}
-		if answer.Sent.Before(base) {
-			base = answer.Sent
+		if answer.Sent.Before(earliest) {
+			earliest = answer.Sent
 		}
 	}
-	return base, true
+	return earliest, true
 }
 
-// take makes the lease this VM's provisionally. m.mu is held.
-func (m *Manager) take(name string, l lease, rank int, base time.Time) {
+// takeProvisionally gives this VM a provisional right to the lease, valid from the given time on. m.mu is held.
+func (m *Manager) takeProvisionally(name string, l lease, rank int, from time.Time) {
 	fencing := provisionalFencing(l.Fencing, rank)
 	if fencing >= nextFencing(l.Fencing) || fencing <= m.highestClaim(name, true) {
-		m.log.WithFields(logrus.Fields{"event": "provisional_number_too_low", "lease": name}).Error()
+		m.log.WithFields(logrus.Fields{"event": "provisional_number_too_low", "lease": name}).Error("cannot take the lease over: another VM claims a fencing number as high, or none is left for this rank")
 		return
 	}
 	r := m.right(name)
-	r.base = base
-	r.taken = l.version
-	m.endRelease(name)
-	// The holder, unless it is this VM, and the successors before this one are proven gone.
+	r.validFrom = from
+	r.replacedVersion = l.version
+	m.clearRelease(name)
+	// The holder, unless it is this VM, and the successors before this VM are proven gone.
 	m.fleet.Announce()
-	gone := rank > 0 && len(m.notGone(l.Lingering)) == 0
-	m.gain(name, r, eventTake, Grant{Name: name, Fencing: fencing, PreviousProvenGone: gone, Recent: l.remember()})
+	gone := rank > 0 && len(m.notGone(l.LingeringHolders)) == 0
+	m.gain(name, r, eventTake, Grant{Name: name, Fencing: fencing, PreviousProvenGone: gone, Recent: l.recentHolders()})
 }
--- a/pkg/lease/handover.go
+++ b/pkg/lease/handover.go
@@ -14,15 +14,15 @@
 
 const wakeMethod = ServiceName + ".Wake"
 
-// WakeRequest tells a VM to look at the table because leases have been handed over to it.
+// WakeRequest asks a VM to list the table at once because leases have been handed over to it. VM is the sender.
 type WakeRequest struct {
 	VM string
 }
 
-// WakeReply is empty.
+// WakeReply is the empty response to a WakeRequest.
 type WakeReply struct{}
 
-// Service takes other VMs' calls by net/rpc.
+// Service handles calls from other VMs over net/rpc.
 type Service struct {
 	manager *Manager
 }
@@ -30,14 +30,14 @@
 // Service returns the service to register with net/rpc under ServiceName.
 func (m *Manager) Service() *Service { return &Service{manager: m} }
 
-// Wake makes the manager look at the table at once.
+// Wake makes the manager list the table at once.
 func (s *Service) Wake(_ *WakeRequest, _ *WakeReply) error {
 	s.manager.Wake()
 	return nil
 }
 
-// wakeSuccessors tells the VMs that released leases are meant for to look at the table.
-func (m *Manager) wakeSuccessors(ctx context.Context, p *plan) {
+// wakeIntendedHolders asks the VMs to which the plan hands leases over to list the table at once.
+func (m *Manager) wakeIntendedHolders(ctx context.Context, p *plan) {
 	targets := map[string]membership.Member{}
 	for _, c := range p.releases {
 		if c.target.PeerAddress != "" {
@@ -50,16 +50,16 @@
 			defer cancel()
 			err := m.caller.Call(ctx, target.PeerAddress, wakeMethod, &WakeRequest{VM: m.cfg.ID}, &WakeReply{})
 			if err != nil {
-				m.log.WithError(err).WithFields(logrus.Fields{"event": "lease_wake_failed", "vm": target.ID}).Warn()
+				m.log.WithError(err).WithFields(logrus.Fields{"event": "lease_wake_failed", "vm": target.ID}).Warn("could not notify the VM of a lease handed over to it")
 			}
 		}()
 	}
 }
 
-// release gives up a lease: the listener is told, and once it has returned the row is written free.
-// m.mu is held.
+// release gives up a lease: it notifies the listener, and once the listener has returned, the next write to
+// the table removes the holder from the row. m.mu is held.
 func (m *Manager) release(name string, now time.Time) {
-	m.yieldUntil[name] = now.Add(yieldTime)
+	m.noClaimBefore[name] = now.Add(reclaimDelay)
 	m.releasing[name] = true
 	m.lose(name, eventRelease, func() {
 		state := m.cfg.State(name)
@@ -70,25 +70,25 @@
 	})
 }
 
-// endRelease ends a handover, whether it has taken place or not. m.mu is held.
-func (m *Manager) endRelease(name string) {
+// clearRelease removes the records of a handover, whether it has taken place or not. m.mu is held.
+func (m *Manager) clearRelease(name string) {
 	delete(m.releasing, name)
 	delete(m.released, name)
 }
 
-// Drain hands every lease over, claims none any more, and closes the session. Once it has returned
-// nil, the process may end. While the table does not answer, nobody could claim what is handed over,
-// so this VM goes on using its leases until the table answers or ctx ends.
+// Drain hands over every lease, stops claiming leases, and closes the session. Once Drain has returned nil,
+// the process may exit. While the table does not respond, no VM could claim a lease that is handed over, so
+// this VM goes on using its leases until the table responds or ctx ends.
 func (m *Manager) Drain(ctx context.Context) error {
 	m.mu.Lock()
 	m.draining = true
 	m.mu.Unlock()
-	begun := time.Now()
+	started := time.Now()
 	m.Wake()
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for !m.isClosed() {
-		m.handOver(begun)
+		m.handOver(started)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -98,17 +98,17 @@
 	return nil
 }
 
-// handOver releases every lease if the table has taken a renewal that was sent after begun.
-func (m *Manager) handOver(begun time.Time) {
+// handOver releases every lease if the table has accepted a renewal that was sent after started.
+func (m *Manager) handOver(started time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.upSince.IsZero() && m.own.base.After(begun) {
+	if !m.upSince.IsZero() && m.own.validFrom.After(started) {
 		m.releaseAll()
 	}
 }
 
-// Release ends the use of every lease after a Drain that has not ended. Once the process has ended, the
-// successors named in the rows take them over without the table.
+// Release stops the use of every lease after a Drain that did not complete. Once the process has exited, the
+// successors named in the rows take the leases over without the table.
 func (m *Manager) Release() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -119,40 +119,40 @@
 func (m *Manager) releaseAll() {
 	now := time.Now()
 	for name, r := range m.rights {
-		if r.life.State() == stateHeld || r.life.State() == stateProvisional {
+		if r.lifecycle.State() == stateHeld || r.lifecycle.State() == stateProvisional {
 			m.release(name, now)
 		}
 	}
 }
 
-// able reports whether the VM could claim a lease, by a session row that it has renewed recently.
-// m.mu is held.
-func (m *Manager) able(vm string, now time.Time) bool {
+// canClaim reports whether the VM could claim a lease, according to a session row that the VM has renewed
+// recently. m.mu is held.
+func (m *Manager) canClaim(vm string, now time.Time) bool {
 	s, ok := m.sessions[vm]
-	return ok && s.Able && !s.over() && now.Sub(s.since) <= 2*m.cfg.Period
+	return ok && s.CanClaim && !s.over() && now.Sub(s.firstSeen) <= 2*m.cfg.Period
 }
 
-// yieldTime is how long a VM leaves a lease that it has handed over to the others.
-const yieldTime = 2 * time.Second
+// reclaimDelay is how long a VM does not claim a lease that it has handed over.
+const reclaimDelay = 2 * time.Second
 
 const drainPollInterval = 20 * time.Millisecond
 
-// rebalance hands one lease over to the VM that stands first for it, if that is another one. The
-// slow pace keeps a rolling restart from moving each lease several times at once. m.mu is held.
+// rebalance hands over one lease whose first VM in rendezvous order is not this one, to that VM. The long
+// interval keeps a rolling restart from moving each lease several times in a row. m.mu is held.
 func (m *Manager) rebalance(live []membership.Member, now time.Time) {
 	if m.nextRebalance.IsZero() {
 		m.nextRebalance = now.Add(m.cfg.RebalanceInterval)
 	}
-	if now.Before(m.nextRebalance) || m.draining || !m.window(now) {
+	if now.Before(m.nextRebalance) || m.draining || !m.claimWindowOpen(now) {
 		return
 	}
 	m.nextRebalance = now.Add(m.cfg.RebalanceInterval)
 	for name, r := range m.rights {
-		if r.life.State() != stateHeld || !m.valid(r, now) {
+		if r.lifecycle.State() != stateHeld || !m.valid(r, now) {
 			continue
 		}
-		first := membership.Rank(name, ids(live))[0]
-		if first != m.cfg.ID && m.able(first, now) {
+		first := membership.Rank(name, memberIDs(live))[0]
+		if first != m.cfg.ID && m.canClaim(first, now) {
 			m.release(name, now)
 			return
 		}
--- a/pkg/lease/manager.go
+++ b/pkg/lease/manager.go
@@ -27,39 +27,39 @@
 	DefaultSessionRetention  = time.Minute
 )
 
-// Config describes this VM and the pace of its lease work.
+// Config describes this VM and sets the manager's timing and callbacks.
 type Config struct {
 	ID          string
 	Incarnation string
 	Address     string
-	// Capacity says how much work this VM can bear, compared with others.
+	// Capacity is this VM's relative capacity for work, compared with other VMs.
 	Capacity float64
 	// Listed is called after the rows have been listed or written. It may be nil.
 	Listed func()
-	// Names returns the leases that should be held by some VM.
+	// Names returns the names of the leases that must always have a holder.
 	Names func() []string
-	// State returns what to pass on to the next holder of a lease that is handed over. It is called
+	// State returns the data to pass on to the next holder of a lease that is handed over. It is called
 	// after LeaseLost for that lease. It may be nil.
 	State func(name string) []byte
-	// Note returns what the next holder should know of a lease that this VM holds, also if this VM fails. It
-	// is written with each renewal. It may be nil, and return nil.
+	// Note returns data on a lease that this VM holds, for the next holder. The data is written with each renewal,
+	// so that it survives a failure of this VM. Note may be nil, and may return nil if there is nothing to write.
 	Note func(name string) []byte
-	// ListPeriod is the time between two listings while nothing has happened.
+	// ListPeriod is the time between two listings of the table while nothing changes.
 	ListPeriod time.Duration
-	// Period is the time between two renewals, Duration how long one is good for.
+	// Period is the time between two renewals, Duration the time for which a renewal is valid.
 	Period   time.Duration
 	Duration time.Duration
-	// Margin is what a claimant waits on top of Duration, for clocks that drift apart.
+	// Margin is the time that a claimant waits on top of Duration, because the clocks of VMs drift apart.
 	Margin time.Duration
 	// StoreTimeout bounds each call of the table service.
 	StoreTimeout time.Duration
-	// RankStep is what each further VM waits before it claims a free lease.
+	// RankStep is the additional wait of each VM after the first in rendezvous order before it claims a free lease.
 	RankStep time.Duration
 	// GuardInterval is the time between two checks for lapsed leases.
 	GuardInterval time.Duration
 	// RebalanceInterval is the time between two handovers that spread leases over the fleet.
 	RebalanceInterval time.Duration
-	// SessionRetention is how long the session row of a VM that is gone stays in the table.
+	// SessionRetention is how long the session row of a VM that has stopped stays in the table.
 	SessionRetention time.Duration
 }
 
@@ -90,25 +90,26 @@
 	}
 }
 
-// Fleet is what the manager asks of membership.Registry.
+// Fleet is the part of membership.Registry that the manager uses.
 type Fleet interface {
 	Live() []membership.Member
-	// Gone reports whether that incarnation of the VM is proven gone.
+	// Gone reports whether the given incarnation of the VM is proven gone.
 	Gone(id, incarnation string) bool
-	// Answer returns the last reply of that incarnation to a heartbeat of this VM.
+	// Answer returns the last response of the given incarnation to a heartbeat of this VM.
 	Answer(id, incarnation string) (membership.Answer, bool)
-	// Claims returns the leases that that incarnation last claimed.
+	// Claims returns the leases that the given incarnation last claimed.
 	Claims(id, incarnation string) []membership.Claim
-	// Announce tells the other VMs at once of this VM's claims.
+	// Announce notifies the other VMs at once of this VM's claims.
 	Announce()
-	// AskAll asks every VM at once for its word, also those that are not asked regularly.
+	// AskAll sends a heartbeat to every VM at once, including VMs that do not get one regularly from this VM.
 	AskAll()
-	// Learn takes in what the table tells of a VM.
+	// Learn records what the table shows of a VM.
 	Learn(seen membership.Sighting)
 }
 
-// Manager holds and claims leases for this VM. One goroutine talks to the table; another checks
-// for lapsed leases and, while the table does not answer, for leases to extend or take over.
+// Manager holds and claims leases for this VM. One goroutine reads and writes the table; another checks
+// for lapsed leases and, while the table does not respond, for leases to extend or take over. Manager is safe
+// for concurrent use.
 type Manager struct {
 	cfg    Config
 	table  platform.Table
@@ -122,84 +123,85 @@
 	// The fields below are guarded by mu.
 
 	own      ownSession
-	sessions map[string]session // as listed last, by VM
-	leases   map[string]lease   // as listed last, by name
-	notes    map[string][]byte  // as listed last, by name of the lease
-	listed   bool               // both maps hold a whole listing
-	// rowsBase is the moment up to which both maps are known to be current: when the listing was
-	// sent, or later if all peers have said since that the table was down for them too.
-	rowsBase time.Time
-	// seen and leaseSeen are the highest table versions of session and lease rows listed.
-	seen, leaseSeen uint64
-	rights          map[string]*right
-	// upSince is the start of the unbroken run of answers from the table; zero while it is down.
+	sessions map[string]session // as last listed, by VM
+	leases   map[string]lease   // as last listed, by lease name
+	notes    map[string][]byte  // as last listed, by lease name
+	listed   bool               // the maps above hold a complete listing
+	// rowsCurrentAt is the time up to which sessions and leases are known to be current: when the listing was
+	// requested, or later if all peers have reported since that the table was down for them too.
+	rowsCurrentAt time.Time
+	// sessionVersionSeen and leaseVersionSeen are the highest table versions of the session and lease rows listed.
+	sessionVersionSeen, leaseVersionSeen uint64
+	// rights are this VM's rights by lease name.
+	rights map[string]*right
+	// upSince is when the table began to respond without a break; zero while it is down.
 	upSince time.Time
-	// openSince is when each lease was first found open to claims; goneSince when each lease's
+	// claimableSince is when each lease was first found claimable; holderGoneSince when each lease's
 	// holder was first found proven gone during an outage of the table.
-	openSince, goneSince map[string]time.Time
-	// releasing are the leases given up whose rows still have to be written free. released holds the
-	// state to pass on of those of them whose loss the listener has dealt with.
+	claimableSince, holderGoneSince map[string]time.Time
+	// releasing are the leases given up whose rows still name this VM as the holder. released holds, for those
+	// of them whose loss the listener has handled, the state to pass on.
 	releasing map[string]bool
 	released  map[string][]byte
-	// yieldUntil keeps this VM from claiming back a lease that it has handed over.
-	yieldUntil    map[string]time.Time
+	// noClaimBefore is, for each lease that this VM has handed over, the time until which it does not claim it again.
+	noClaimBefore map[string]time.Time
 	nextRebalance time.Time
 	draining      bool
 	closed        bool
-	// heldBack is why this VM claims no lease for now; empty if it may.
+	// heldBack is why this VM claims no lease for now; blank if it may claim.
 	heldBack string
-	// woken says that something has happened since the last listing.
+	// woken says that Wake has been called since the last listing.
 	woken bool
 }
 
-// ownSession is this VM's session as it knows it.
+// ownSession is the state of this VM's own session.
 type ownSession struct {
-	// version is the version of the row that the next write is conditional on.
+	// version is the row version on which the next write is conditional.
 	version uint64
 	counter uint64
-	// created is the version at which this VM's session began; 0 before that.
+	// created is the row version at which this VM's session began; 0 before that.
 	created uint64
-	// base is the moment from which Duration counts.
-	base time.Time
-	// unresolved maps attempts whose outcome is unknown to the time they were sent.
+	// validFrom is the time from which Duration counts.
+	validFrom time.Time
+	// unresolved maps the write attempts whose outcome is unknown to the time at which they were sent.
 	unresolved map[string]time.Time
 }
 
 // right is this VM's right to one lease.
 type right struct {
-	life  *chart.Machine
-	grant Grant
-	// base is the moment from which Duration counts while the right is provisional.
-	base time.Time
-	// taken is the version of the lease row that a provisional right replaces.
-	taken uint64
+	lifecycle *chart.Machine
+	grant     Grant
+	// validFrom is the time from which Duration counts while the right is provisional.
+	validFrom time.Time
+	// replacedVersion is the version of the lease row that a provisional right is to replace.
+	replacedVersion uint64
 }
 
-// NewManager returns a manager. The listener's calls are made one at a time, from Run.
+// NewManager returns a manager. The listener is called, one call at a time, only while Run runs.
 func NewManager(cfg Config, table platform.Table, fleet Fleet, caller peer.Caller, listener Listener, log logrus.FieldLogger) *Manager {
 	cfg.setDefaults()
 	return &Manager{
-		cfg:        cfg,
-		table:      table,
-		fleet:      fleet,
-		caller:     caller,
-		log:        log,
-		events:     newNotifier(listener),
-		wake:       make(chan struct{}, 1),
-		own:        ownSession{unresolved: map[string]time.Time{}},
-		sessions:   map[string]session{},
-		leases:     map[string]lease{},
-		rights:     map[string]*right{},
-		openSince:  map[string]time.Time{},
-		goneSince:  map[string]time.Time{},
-		releasing:  map[string]bool{},
-		released:   map[string][]byte{},
-		yieldUntil: map[string]time.Time{},
+		cfg:             cfg,
+		table:           table,
+		fleet:           fleet,
+		caller:          caller,
+		log:             log,
+		events:          newNotifier(listener),
+		wake:            make(chan struct{}, 1),
+		own:             ownSession{unresolved: map[string]time.Time{}},
+		sessions:        map[string]session{},
+		leases:          map[string]lease{},
+		rights:          map[string]*right{},
+		claimableSince:  map[string]time.Time{},
+		holderGoneSince: map[string]time.Time{},
+		releasing:       map[string]bool{},
+		released:        map[string][]byte{},
+		noClaimBefore:   map[string]time.Time{},
 	}
 }
 
-// Run renews and claims leases until ctx ends. The peer port must take calls before Run starts, so
-// that a refused connection proves that the process is gone.
+// Run renews and claims leases until ctx ends. The peer port must accept calls before Run starts, so
+// that a refused connection proves that the process has exited.
 func (m *Manager) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -213,15 +215,16 @@
 	}
 }
 
-// sleep waits for a period, for the time at which a claim is due, or for a wake-up.
+// sleep waits for a period, for the time at which a claim is due, or for a call of Wake, whichever comes first. It
+// reports false if ctx has ended.
 func (m *Manager) sleep(ctx context.Context, due time.Time) bool {
 	wait := m.cfg.Period
-	if m.starting(time.Now()) {
-		wait = min(wait, startPeriod)
+	if m.awaitingStartup(time.Now()) {
+		wait = min(wait, startupPeriod)
 		m.fleet.AskAll()
 	}
 	if until := time.Until(due); !due.IsZero() && until < wait {
-		wait = max(until, minTickGap)
+		wait = max(until, minTickInterval)
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -238,24 +241,24 @@
 }
 
 const (
-	// startPeriod is the time between two looks at the table while this VM waits for the word of VMs that
-	// may be starting too.
-	startPeriod = 250 * time.Millisecond
-	// startLimit is how long after the table has begun to answer this VM looks that often.
-	startLimit = 4 * time.Second
+	// startupPeriod is the time between two listings of the table while this VM waits for VMs that may be
+	// starting too to respond.
+	startupPeriod = 250 * time.Millisecond
+	// startupLimit is how long after the table has begun to respond this VM lists it that often.
+	startupLimit = 4 * time.Second
 )
 
-// starting reports whether this VM waits for the word of VMs that may be starting too.
-func (m *Manager) starting(now time.Time) bool {
+// awaitingStartup reports whether this VM, which holds back its claims, waits for VMs that may be starting too.
+func (m *Manager) awaitingStartup(now time.Time) bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return strings.TrimSpace(m.heldBack) != "" && !m.upSince.IsZero() && now.Sub(m.upSince) < startLimit
+	return strings.TrimSpace(m.heldBack) != "" && !m.upSince.IsZero() && now.Sub(m.upSince) < startupLimit
 }
 
-// minTickGap bounds the pace of the work loop.
-const minTickGap = 10 * time.Millisecond
+// minTickInterval is the minimum time between two ticks that a due claim causes.
+const minTickInterval = 10 * time.Millisecond
 
-// Wake makes the manager look at the table at once. It never blocks.
+// Wake makes the manager list the table at once. It never blocks.
 func (m *Manager) Wake() {
 	select {
 	case m.wake <- struct{}{}:
@@ -274,7 +277,7 @@
 	return r.grant, true
 }
 
-// HolderOf returns the believed holder.
+// HolderOf returns the holder of the lease as far as this VM knows, which may be this VM.
 func (m *Manager) HolderOf(name string) (Holder, bool) {
 	if grant, ok := m.Held(name); ok {
 		return Holder{VM: m.cfg.ID, Incarnation: m.cfg.Incarnation, Address: m.cfg.Address, Fencing: grant.Fencing}, true
@@ -282,7 +285,7 @@
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	l, known := m.leases[name]
-	if known && m.names(l, m.cfg.ID, m.cfg.Incarnation) {
+	if known && m.namesHolder(l, m.cfg.ID, m.cfg.Incarnation) {
 		known = false
 	}
 	best := Holder{}
@@ -293,7 +296,7 @@
 	return best, best.VM != ""
 }
 
-// overrideByClaims replaces the holder by a VM that claims a higher fencing number. m.mu is held.
+// overrideByClaims replaces the holder with a VM that claims a higher fencing number. m.mu is held.
 func (m *Manager) overrideByClaims(name string, best *Holder) {
 	for vm, s := range m.sessions {
 		if vm == m.cfg.ID {
@@ -307,25 +310,27 @@
 	}
 }
 
-// names reports whether the row names that VM as its holder.
-func (m *Manager) names(l lease, vm, incarnation string) bool {
+// namesHolder reports whether the row names the given incarnation of the VM as its holder.
+func (m *Manager) namesHolder(l lease, vm, incarnation string) bool {
 	return l.Holder == vm && l.Incarnation == incarnation
 }
 
-func (m *Manager) mine(l lease) bool { return m.names(l, m.cfg.ID, m.cfg.Incarnation) }
+// mine reports whether the row names this VM incarnation as its holder.
+func (m *Manager) mine(l lease) bool { return m.namesHolder(l, m.cfg.ID, m.cfg.Incarnation) }
 
 // valid reports whether the right may be used at now. m.mu is held.
 func (m *Manager) valid(r *right, now time.Time) bool {
-	switch r.life.State() {
+	switch r.lifecycle.State() {
 	case stateHeld:
-		return clock.Elapsed(m.own.base, now) < m.cfg.Duration
+		return clock.Elapsed(m.own.validFrom, now) < m.cfg.Duration
 	case stateProvisional:
-		return clock.Elapsed(r.base, now) < m.cfg.Duration
+		return clock.Elapsed(r.validFrom, now) < m.cfg.Duration
 	}
 	return false
 }
 
-// Status returns what heartbeats tell of the store and the leases.
+// Status returns the data on the store and the leases that heartbeats carry: whether the table is down for this
+// VM, the highest version of a lease row that it has listed, and its claims.
 func (m *Manager) Status() (storeDown bool, leaseSeen uint64, claims []membership.Claim) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -335,54 +340,54 @@
 		}
 	}
 	for name, r := range m.rights {
-		if r.life.State() == stateProvisional {
+		if r.lifecycle.State() == stateProvisional {
 			claims = append(claims, membership.Claim{Name: name, Fencing: r.grant.Fencing})
 		}
 	}
-	return m.upSince.IsZero(), m.leaseSeen, claims
+	return m.upSince.IsZero(), m.leaseVersionSeen, claims
 }
 
-// gain moves a right to the state that event leads to and tells the listener. m.mu is held.
+// gain moves a right to the state to which event leads, and notifies the listener. m.mu is held.
 func (m *Manager) gain(name string, r *right, event chart.Event, grant Grant) {
 	m.fire(name, r, event)
 	r.grant = grant
 	m.log.WithFields(logrus.Fields{
 		"event": "lease_gained", "lease": name, "fencing": grant.Fencing,
-		"previous_gone": grant.PreviousProvenGone, "state": r.life.State(),
-	}).Info()
+		"previous_gone": grant.PreviousProvenGone, "state": r.lifecycle.State(),
+	}).Info("lease gained")
 	m.events.gained(grant)
 }
 
-// lose ends a right that may still be believed in. done, if not nil, is called after the listener
-// has been told. m.mu is held.
+// lose ends a right, and notifies the listener if the right was held or provisional. done, if not nil, is called
+// after the listener has returned. m.mu is held.
 func (m *Manager) lose(name string, event chart.Event, done func()) {
 	r := m.rights[name]
 	if r == nil {
 		return
 	}
-	was := r.life.State()
+	was := r.lifecycle.State()
 	m.fire(name, r, event)
 	if was != stateHeld && was != stateProvisional {
 		return
 	}
 	m.log.WithFields(logrus.Fields{
 		"event": "lease_lost", "lease": name, "fencing": r.grant.Fencing, "cause": event,
-	}).Info()
+	}).Info("lease lost")
 	m.events.lost(name, done)
 }
 
-// fire moves a right's life on. m.mu is held.
+// fire applies an event to a right's state chart. m.mu is held.
 func (m *Manager) fire(name string, r *right, event chart.Event) {
-	if err := r.life.Fire(event); err != nil {
-		m.log.WithError(err).WithFields(logrus.Fields{"event": "lease_event_rejected", "lease": name}).Error()
+	if err := r.lifecycle.Fire(event); err != nil {
+		m.log.WithError(err).WithFields(logrus.Fields{"event": "lease_event_rejected", "lease": name}).Error("event not allowed in the current state of the lease")
 	}
 }
 
-// right returns the right to a lease, which it creates if need be. m.mu is held.
+// right returns the right to a lease, and creates an idle one if there is none. m.mu is held.
 func (m *Manager) right(name string) *right {
 	r := m.rights[name]
 	if r == nil {
-		r = &right{life: chart.NewMachine(leaseChart)}
+		r = &right{lifecycle: chart.NewMachine(leaseChart)}
 		m.rights[name] = r
 	}
 	return r
--- a/pkg/lease/manager_test.go
+++ b/pkg/lease/manager_test.go
@@ -14,6 +14,7 @@
 
 const takeoverLimit = 5 * time.Second
 
+// Every lease gets one holder, and another VM finds that holder with its fencing number.
 func TestEveryLeaseGetsOneHolder(t *testing.T) {
 	names := []string{"group/a", "group/b", "account/x", lease.Budget}
 	runFleet(t, 1, 7, names, func(f *fleet) {
@@ -32,8 +33,10 @@
 	})
 }
 
+// After the crash of a holder, another VM takes the lease over with a higher fencing number. The previous holder is
+// proven gone only if its process was killed on a VM that still refuses connections.
 func TestTakeoverAfterCrash(t *testing.T) {
-	for name, end := range map[string]func(*fleettest.Fleet, *fleettest.VM){
+	for name, crash := range map[string]func(*fleettest.Fleet, *fleettest.VM){
 		"process killed": (*fleettest.Fleet).Kill,
 		"VM vanished":    (*fleettest.Fleet).Vanish,
 	} {
@@ -42,7 +45,7 @@
 				first := f.holder(lease.Budget, 2*takeoverLimit)
 				before, _ := first.Manager.Held(lease.Budget)
 				time.Sleep(30 * time.Second)
-				end(f.Fleet, first)
+				crash(f.Fleet, first)
 				second := f.holder(lease.Budget, takeoverLimit)
 				after, _ := second.Manager.Held(lease.Budget)
 				require.Greater(f.t, after.Fencing, before.Fencing)
@@ -52,6 +55,7 @@
 	}
 }
 
+// While the table is down for all VMs, holders extend their leases by their peers' reports and lose none.
 func TestStoreDownTenMinutes(t *testing.T) {
 	runFleet(t, 3, 7, []string{lease.Budget, "group/a"}, func(f *fleet) {
 		holder := f.holder(lease.Budget, 2*takeoverLimit)
@@ -68,6 +72,8 @@
 	})
 }
 
+// While the table is down, successors take over from crashed holders. When the table is back, the last one keeps the
+// lease with its fencing number.
 func TestHolderCrashesWhileStoreIsDown(t *testing.T) {
 	runFleet(t, 4, 7, []string{lease.Budget}, func(f *fleet) {
 		first := f.holder(lease.Budget, 2*takeoverLimit)
@@ -89,6 +95,7 @@
 	})
 }
 
+// A holder whose process is paused for longer than the lease's duration must not use the lease when it resumes.
 func TestPausedHolderWakesUpWithoutTheLease(t *testing.T) {
 	runFleet(t, 5, 7, []string{lease.Budget}, func(f *fleet) {
 		first := f.holder(lease.Budget, 2*takeoverLimit)
@@ -105,6 +112,7 @@
 	})
 }
 
+// A VM that drains hands its leases over within a second, and the next holder may rely on it.
 func TestDrainHandsOver(t *testing.T) {
 	runFleet(t, 6, 7, []string{lease.Budget, "group/a", "group/b"}, func(f *fleet) {
 		first := f.holder(lease.Budget, 2*takeoverLimit)
@@ -121,7 +129,7 @@
 	})
 }
 
-// While the table is down, a VM that drains goes on using its leases; it hands them over afterwards.
+// While the table is down, a VM that drains goes on using its leases. It hands them over once the table responds.
 func TestDrainWaitsForTheTable(t *testing.T) {
 	runFleet(t, 6, 7, []string{lease.Budget}, func(f *fleet) {
 		first := f.holder(lease.Budget, 2*takeoverLimit)
@@ -138,7 +146,7 @@
 	})
 }
 
-// A VM that ends while the table is down leaves its leases to the successors.
+// A VM that stops while the table is down leaves its leases to the successors.
 func TestReleaseLeavesLeasesToSuccessors(t *testing.T) {
 	runFleet(t, 6, 7, []string{lease.Budget}, func(f *fleet) {
 		first := f.holder(lease.Budget, 2*takeoverLimit)
@@ -155,6 +163,8 @@
 	})
 }
 
+// While the responses to all writes are lost, no VM may act on a claim of unknown outcome. Afterwards the lease gets
+// a holder.
 func TestLostReplyOfClaim(t *testing.T) {
 	runFleet(t, 7, 3, []string{lease.Budget}, func(f *fleet) {
 		for _, v := range f.VMs() {
@@ -169,7 +179,8 @@
 	})
 }
 
-// TestNewHolderInALargerFleet takes a fleet in which not every VM beats to every other.
+// In a fleet so large that not every VM sends heartbeats to every other, a new holder keeps its lease while the
+// table is down.
 func TestNewHolderInALargerFleet(t *testing.T) {
 	runFleet(t, 8, 14, []string{lease.Budget, "group/a"}, func(f *fleet) {
 		first := f.holder(lease.Budget, 2*takeoverLimit)
@@ -183,8 +194,8 @@
 	})
 }
 
-// All VMs of a fleet in which not every VM beats to every other are killed and start again: each must hear
-// from all others before it claims anything, and asks them for that.
+// All VMs of a fleet in which not every VM sends heartbeats to every other are killed and restarted. Each VM needs
+// reports of all others before it claims anything, and must request them to claim early.
 func TestRestartOfALargerFleet(t *testing.T) {
 	names := []string{lease.Budget, "group/a", "group/b", "account/x"}
 	runFleet(t, 11, 10, names, func(f *fleet) {
@@ -192,24 +203,24 @@
 			f.holder(name, 2*takeoverLimit)
 		}
 		time.Sleep(20 * time.Second)
-		old := f.VMs()
-		for _, v := range old {
+		vms := f.VMs()
+		for _, v := range vms {
 			f.Kill(v)
 		}
 		time.Sleep(time.Second)
-		for _, v := range old {
+		for _, v := range vms {
 			f.Start(v.ID)
 		}
-		begun := time.Now()
+		started := time.Now()
 		for _, name := range names {
 			f.holder(name, takeoverLimit)
 		}
-		require.Less(f.t, time.Since(begun), 1500*time.Millisecond, "half of the time after which a claim needs nobody's word")
+		require.Less(f.t, time.Since(started), 1500*time.Millisecond, "half of the time after which a claim needs no reports of other VMs")
 	})
 }
 
-// TestStoreComesBackForOneVMOnly has a successor hold the lease without the table when the table
-// answers another VM again: that VM must wait until the successor has stopped.
+// A successor holds the lease without the table when the table responds to another VM again: that VM must wait
+// until the successor's right has lapsed.
 func TestStoreComesBackForOneVMOnly(t *testing.T) {
 	runFleet(t, 9, 5, []string{lease.Budget}, func(f *fleet) {
 		first := f.holder(lease.Budget, 2*takeoverLimit)
@@ -218,27 +229,27 @@
 		time.Sleep(10 * time.Second)
 		f.Kill(first)
 		second := f.holder(lease.Budget, takeoverLimit)
-		lucky := f.VMs()[0]
+		connected := f.VMs()[0]
 		for _, v := range f.VMs() {
 			if v != first && v != second {
-				lucky = v
+				connected = v
 			}
 			f.Table.SetFaults(v.ID, fleettest.TableFaults{Down: true})
 		}
-		f.Table.SetFaults(lucky.ID, fleettest.TableFaults{})
+		f.Table.SetFaults(connected.ID, fleettest.TableFaults{})
 		f.Table.SetDown(false)
 		for range 1500 {
 			time.Sleep(10 * time.Millisecond)
 			require.LessOrEqual(f.t, len(f.Holders(lease.Budget)), 1)
 		}
-		require.True(f.t, slices.Equal([]*fleettest.VM{lucky}, f.Holders(lease.Budget)))
-		grant, _ := lucky.Manager.Held(lease.Budget)
-		require.False(f.t, grant.PreviousProvenGone, "the successor's orders may still arrive")
+		require.True(f.t, slices.Equal([]*fleettest.VM{connected}, f.Holders(lease.Budget)))
+		grant, _ := connected.Manager.Held(lease.Budget)
+		require.False(f.t, grant.PreviousProvenGone, "orders of the successor may still arrive")
 	})
 }
 
-// TestUnknownVMDoesNotClaim has a VM start while the table is down for all others: they do not know
-// it, and go on by each other's word.
+// A VM starts while the table is down for all others. They do not know of it, and extend their leases on each
+// other's reports, so the new VM must not claim a lease.
 func TestUnknownVMDoesNotClaim(t *testing.T) {
 	runFleet(t, 10, 3, []string{lease.Budget}, func(f *fleet) {
 		first := f.holder(lease.Budget, 2*takeoverLimit)
@@ -256,8 +267,8 @@
 	})
 }
 
-// A claim that is under way while the holder's heartbeats still name the lease is not given up: the right
-// is good as soon as the table has granted it.
+// A claim in flight is not given up because the holder's heartbeats still claim the lease: the right is valid as
+// soon as the table has granted it.
 func TestAClaimOutlastsTheHoldersHeartbeats(t *testing.T) {
 	runFleet(t, 8, 5, []string{lease.Budget}, func(f *fleet) {
 		first := f.holder(lease.Budget, 2*takeoverLimit)
@@ -270,12 +281,12 @@
 		second := f.holder(lease.Budget, takeoverLimit)
 		require.NotEqual(f.t, first.ID, second.ID)
 		grant, _ := second.Manager.Held(lease.Budget)
-		require.EqualValues(f.t, 2*1024, grant.Fencing, "claimed once")
+		require.EqualValues(f.t, 2*1024, grant.Fencing, "the lease was claimed only once")
 	})
 }
 
-// What a holder writes down of a lease with its renewals reaches the next holder with the grant, also when all
-// VMs were killed at once. It is what the last holder wrote, not an earlier one.
+// The note that a holder writes with its renewals reaches the next holder with the grant, also when all VMs were
+// killed at once. The note must be that of the last holder, not of an earlier one.
 func TestNotesReachTheNextHolder(t *testing.T) {
 	const name = "account/x"
 	runFleetWith(t, 12, func(f *fleet) {
@@ -285,7 +296,7 @@
 		}
 		f.StartAll(4)
 		first := f.holder(name, 2*takeoverLimit)
-		require.Nil(f.t, first.Gains()[0].Note, "nobody has held it before")
+		require.Nil(f.t, first.Gains()[0].Note, "no VM has held the lease before")
 		time.Sleep(10 * time.Second)
 		f.Kill(first)
 		second := f.holder(name, takeoverLimit)
@@ -302,7 +313,7 @@
 	})
 }
 
-// requireNote requires that a VM was granted the lease with what another one had written down.
+// requireNote requires that a VM was granted the lease with the note of the VM by.
 func (f *fleet) requireNote(v *fleettest.VM, name string, by *fleettest.VM) {
 	f.t.Helper()
 	for _, grant := range v.Gains() {
@@ -311,5 +322,5 @@
 			return
 		}
 	}
-	require.Fail(f.t, "no grant", "%s at %s", name, v.ID)
+	require.Fail(f.t, "lease not granted", "%s at %s", name, v.ID)
 }
--- a/pkg/lease/measure_test.go
+++ b/pkg/lease/measure_test.go
@@ -27,13 +27,14 @@
 
 const warmUp = 30 * time.Second
 
+// TestMeasureTakeover prints how long leases have no other holder after a fault at their holder.
 func TestMeasureTakeover(t *testing.T) {
 	if !*measure {
 		t.Skip("measurement: run with -measure")
 	}
 	type fault struct {
-		name  string
-		bring func(*fleet, *fleettest.VM)
+		name   string
+		inject func(*fleet, *fleettest.VM)
 	}
 	faults := []fault{
 		{"process killed", func(f *fleet, v *fleettest.VM) { f.Kill(v) }},
@@ -56,7 +57,7 @@
 		for seed := range int64(*measureSeeds) {
 			runFleet(t, seed+1, 7, measureNames, func(f *fleet) {
 				time.Sleep(warmUp + time.Duration(seed)*37*time.Millisecond)
-				times = append(times, f.takeovers(fault.bring)...)
+				times = append(times, f.takeovers(fault.inject)...)
 			})
 		}
 		slices.Sort(times)
@@ -67,9 +68,9 @@
 	}
 }
 
-// takeovers brings a fault about at the budget's holder and returns how long each of its leases was
-// held by no other VM.
-func (f *fleet) takeovers(bring func(*fleet, *fleettest.VM)) []time.Duration {
+// takeovers injects a fault at the holder of the budget lease, and returns for each of its leases how long it took
+// until another VM held the lease; a minute if none did.
+func (f *fleet) takeovers(inject func(*fleet, *fleettest.VM)) []time.Duration {
 	victim := f.holder(lease.Budget, time.Second)
 	var names []string
 	for _, name := range measureNames {
@@ -77,7 +78,7 @@
 			names = append(names, name)
 		}
 	}
-	bring(f, victim)
+	inject(f, victim)
 	start := time.Now()
 	var times []time.Duration
 	for len(names) > 0 && time.Since(start) < time.Minute {
@@ -97,6 +98,7 @@
 	return times
 }
 
+// TestMeasureControlTraffic prints the rates of store calls and of control bytes by fleet size.
 func TestMeasureControlTraffic(t *testing.T) {
 	if !*measure {
 		t.Skip("measurement: run with -measure")
@@ -121,8 +123,8 @@
 	}
 }
 
-// meter counts the bytes of calls as net/rpc encodes them: one gob stream for each pair of VMs and
-// direction, with a header for each message.
+// meter counts the bytes of calls as net/rpc encodes them: one gob stream per direction between two VMs,
+// with a header for each message.
 type meter struct {
 	mu      sync.Mutex
 	streams map[string]*stream
@@ -134,7 +136,7 @@
 	encoder *gob.Encoder
 }
 
-// header has the size of net/rpc's request and response headers.
+// header has the same encoded size as the request and response headers of net/rpc.
 type header struct {
 	ServiceMethod string
 	Seq           uint64
@@ -150,12 +152,12 @@
 }
 
 // send adds the bytes of one message. m.mu is held.
-func (m *meter) send(way string, head header, body any) {
-	s := m.streams[way]
+func (m *meter) send(direction string, head header, body any) {
+	s := m.streams[direction]
 	if s == nil {
 		s = &stream{}
 		s.encoder = gob.NewEncoder(&s.buffer)
-		m.streams[way] = s
+		m.streams[direction] = s
 	}
 	s.buffer.Reset()
 	if err := s.encoder.Encode(head); err != nil {
--- a/pkg/lease/notifier.go
+++ b/pkg/lease/notifier.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// notifier calls the listener one event at a time, in order, away from the callers' locks.
+// notifier delivers events to the listener one at a time and in order, on a goroutine of its own, so that the
+// listener runs without the locks of those that add the events.
 type notifier struct {
 	listener Listener
 	ready    chan struct{}
@@ -48,13 +49,13 @@
 			return
 		case <-n.ready:
 		}
-		for _, call := range n.take() {
+		for _, call := range n.takeQueued() {
 			call()
 		}
 	}
 }
 
-func (n *notifier) take() []func() {
+func (n *notifier) takeQueued() []func() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	calls := n.queue
--- a/pkg/lease/plan.go
+++ b/pkg/lease/plan.go
@@ -8,48 +8,49 @@
 	"github.com/mallowlink/mallowlink/pkg/platform"
 )
 
-// plan is one conditional write: the session with all that is due.
+// plan is one conditional write: this VM's session with all other changes that are due.
 type plan struct {
 	session        sessionRow
 	sessionVersion uint64
-	claims         []change
-	confirms       []change
-	releases       []change
-	// notes are written with a plain renewal, by the name of the lease.
+	claims         []rowChange
+	confirms       []rowChange
+	releases       []rowChange
+	// notes maps lease names to the notes to write. They are written only if the plan renews the session and
+	// does nothing else.
 	notes map[string][]byte
-	// ends are the sessions of other VMs that the write ends, deletes those it deletes.
+	// ends are the sessions of other VMs that the write ends, deletes those whose rows it deletes, both by VM.
 	ends    map[string]session
 	deletes map[string]session
-	// due is when a claim will be due that is not part of this plan.
+	// due is when the next claim that is not part of this plan will be due; zero if none is foreseen.
 	due time.Time
 }
 
-// change is a new value of one lease row.
-type change struct {
+// rowChange is a new value of one lease row.
+type rowChange struct {
 	name string
 	row  leaseRow
-	// version is the version that the row must be at, 0 if it must be absent.
+	// version is the version that the row must have, 0 if the row must be absent.
 	version uint64
-	// state is what the previous holder passed on, note what it last wrote down.
+	// state is the data that the previous holder passed on at a handover, note its last note.
 	state, note []byte
-	// target is the VM that a released lease is meant for.
+	// target is the VM to which a released lease is handed over.
 	target membership.Member
 }
 
-func (c change) grant() Grant {
+func (c rowChange) grant() Grant {
 	return Grant{
 		Name:               c.name,
 		Fencing:            c.row.Fencing,
 		First:              c.version == 0,
-		PreviousProvenGone: len(c.row.Lingering) == 0,
+		PreviousProvenGone: len(c.row.LingeringHolders) == 0,
 		State:              c.state,
 		Note:               c.note,
 		Recent:             c.row.Recent,
 	}
 }
 
-// alone reports whether the plan writes nothing but the session.
-func (p *plan) alone() bool {
+// sessionOnly reports whether the plan writes nothing but the session, apart from notes.
+func (p *plan) sessionOnly() bool {
 	return len(p.claims)+len(p.confirms)+len(p.releases)+len(p.ends)+len(p.deletes) == 0
 }
 
@@ -62,7 +63,7 @@
 		t.Writes = append(t.Writes, platform.Write{Key: key, Value: value, Delete: value == nil})
 	}
 	add(sessionPrefix+p.session.VM, p.sessionVersion, encode(p.session))
-	for _, list := range [][]change{p.claims, p.confirms, p.releases} {
+	for _, list := range [][]rowChange{p.claims, p.confirms, p.releases} {
 		for _, c := range list {
 			add(leasePrefix+c.name, c.version, encode(c.row))
 		}
@@ -74,7 +75,7 @@
 	for vm, s := range p.deletes {
 		add(sessionPrefix+vm, s.version, nil)
 	}
-	if p.alone() {
+	if p.sessionOnly() {
 		for name, note := range p.notes {
 			t.Writes = append(t.Writes, platform.Write{Key: notePrefix + name, Value: note})
 		}
@@ -82,8 +83,8 @@
 	return t
 }
 
-// takeNotes returns what the holder's side has to write down of the leases that this VM holds.
-func (m *Manager) takeNotes(now time.Time) map[string][]byte {
+// collectNotes returns the notes to write for the leases that this VM holds.
+func (m *Manager) collectNotes(now time.Time) map[string][]byte {
 	m.mu.RLock()
 	var held []string
 	for name, r := range m.rights {
@@ -92,7 +93,7 @@
 		}
 	}
 	m.mu.RUnlock()
-	// The holder's side may ask this manager for its leases: it is called without locks.
+	// Note is called without m.mu, because the callback may call methods of this manager.
 	notes := map[string][]byte{}
 	for _, name := range held {
 		if note := m.cfg.Note(name); note != nil {
@@ -102,10 +103,11 @@
 	return notes
 }
 
-// plan decides what to write. It returns nil before the first listing.
+// plan decides what to write. It returns nil before the first listing. listed says whether the rows have just
+// been listed; without that, the plan only renews the session.
 func (m *Manager) plan(listed bool, now time.Time) *plan {
 	live := m.fleet.Live()
-	notes := m.takeNotes(now)
+	notes := m.collectNotes(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.listed {
@@ -121,46 +123,46 @@
 		p.session.Closed = m.drained(p)
 		return p
 	}
-	if !m.window(now) {
-		m.holdBack("VMs have not said that the table answers them", m.unvouched())
-		p.wait(m.windowOpens())
+	if !m.claimWindowOpen(now) {
+		m.setHeldBack("some VMs have not reported that the lease table responds to them", m.unconfirmedVMs())
+		p.noteDue(m.claimWindowStart())
 		return p
 	}
-	if strangers := m.strangers(); len(strangers) > 0 {
-		m.holdBack("VMs do not know of this one", strangers)
+	if unaware := m.unawareVMs(); len(unaware) > 0 {
+		m.setHeldBack("some VMs have not listed the session of this VM", unaware)
 		return p
 	}
-	m.holdBack("", nil)
+	m.setHeldBack("", nil)
 	m.planClaims(p, live, now)
-	m.planSessions(p, live, now)
+	m.planSessionCleanup(p, live, now)
 	return p
 }
 
 // nextSession returns the session row to write. m.mu is held.
 func (m *Manager) nextSession(now time.Time) sessionRow {
 	return sessionRow{
-		VM:          m.cfg.ID,
-		Incarnation: m.cfg.Incarnation,
-		Address:     m.cfg.Address,
-		Counter:     m.own.counter + 1,
-		Duration:    m.cfg.Duration,
-		Capacity:    m.cfg.Capacity,
-		Seen:        m.seen,
-		Draining:    m.draining,
-		Able:        m.own.created != 0 && !m.draining && m.window(now) && len(m.strangers()) == 0,
+		VM:                 m.cfg.ID,
+		Incarnation:        m.cfg.Incarnation,
+		Address:            m.cfg.Address,
+		Counter:            m.own.counter + 1,
+		Duration:           m.cfg.Duration,
+		Capacity:           m.cfg.Capacity,
+		SessionVersionSeen: m.sessionVersionSeen,
+		Draining:           m.draining,
+		CanClaim:           m.own.created != 0 && !m.draining && m.claimWindowOpen(now) && len(m.unawareVMs()) == 0,
 	}
 }
 
-// planConfirms adds the rows of provisional rights. m.mu is held.
+// planConfirms adds the rows that confirm provisional rights. m.mu is held.
 func (m *Manager) planConfirms(p *plan, live []membership.Member, now time.Time) {
 	for name, r := range m.rights {
-		if r.life.State() != stateProvisional || !m.valid(r, now) {
+		if r.lifecycle.State() != stateProvisional || !m.valid(r, now) {
 			continue
 		}
-		row := m.row(name, r.grant.Fencing, live)
-		row.Lingering = m.notGone(m.leases[name].Lingering)
-		row.Recent = m.leases[name].remember()
-		p.confirms = append(p.confirms, change{name: name, row: row, version: r.taken})
+		row := m.newRow(name, r.grant.Fencing, live)
+		row.LingeringHolders = m.notGone(m.leases[name].LingeringHolders)
+		row.Recent = m.leases[name].recentHolders()
+		p.confirms = append(p.confirms, rowChange{name: name, row: row, version: r.replacedVersion})
 	}
 }
 
@@ -169,25 +171,25 @@
 	for name, state := range m.released {
 		l := m.leases[name]
 		if !m.mine(l) {
-			m.endRelease(name)
+			m.clearRelease(name)
 			continue
 		}
 		row := l.leaseRow
-		row.Recent = row.remember()
+		row.Recent = row.recentHolders()
 		row.Holder, row.Incarnation, row.Address = "", "", ""
 		row.State = state
-		row.Lingering = m.notGone(slices.DeleteFunc(slices.Clone(l.Lingering), m.isSelf))
-		c := change{name: name, row: row, version: l.version, target: m.firstOther(name, live)}
-		c.row.For = c.target.ID
+		row.LingeringHolders = m.notGone(slices.DeleteFunc(slices.Clone(l.LingeringHolders), m.isSelf))
+		c := rowChange{name: name, row: row, version: l.version, target: m.firstOther(name, live)}
+		c.row.IntendedHolder = c.target.ID
 		p.releases = append(p.releases, c)
 	}
 }
 
-func (m *Manager) isSelf(s successor) bool {
+func (m *Manager) isSelf(s vmIncarnation) bool {
 	return s.VM == m.cfg.ID && s.Incarnation == m.cfg.Incarnation
 }
 
-// drained reports whether no lease names this VM once p is written. m.mu is held.
+// drained reports whether no lease row will name this VM once p is written. m.mu is held.
 func (m *Manager) drained(p *plan) bool {
 	mine := 0
 	for _, l := range m.leases {
@@ -202,56 +204,56 @@
 func (m *Manager) planClaims(p *plan, live []membership.Member, now time.Time) {
 	for _, name := range m.cfg.Names() {
 		l, exists := m.leases[name]
-		open, due := m.open(l, exists, now)
+		open, due := m.claimable(l, exists, now)
 		if !open {
-			delete(m.openSince, name)
-			p.wait(due)
+			delete(m.claimableSince, name)
+			p.noteDue(due)
 			continue
 		}
-		if !exists && now.Before(m.windowOpens()) {
-			// The fleet is starting: the VMs that come first would claim what others are to hold.
-			p.wait(m.windowOpens())
+		if !exists && now.Before(m.claimWindowStart()) {
+			// The fleet may be starting: the VMs that are up first would claim leases that belong on others.
+			p.noteDue(m.claimWindowStart())
 			continue
 		}
-		if m.believed(name) || m.releasing[name] || l.malformed || m.highestClaim(name, false) > l.Fencing {
+		if m.hasRight(name) || m.releasing[name] || l.malformed || m.highestClaim(name, false) > l.Fencing {
 			continue
 		}
-		if due = m.turn(name, l, live, now); due.After(now) {
-			p.wait(due)
+		if due = m.claimTime(name, l, live, now); due.After(now) {
+			p.noteDue(due)
 			continue
 		}
 		m.planClaim(p, name, l, live)
 	}
 }
 
-// wait keeps the earliest time at which something will be due.
-func (p *plan) wait(due time.Time) {
+// noteDue sets due to the given time if that is earlier. A zero time is ignored.
+func (p *plan) noteDue(due time.Time) {
 	if !due.IsZero() && (p.due.IsZero() || due.Before(p.due)) {
 		p.due = due
 	}
 }
 
-// believed reports whether this VM holds the lease already. m.mu is held.
-func (m *Manager) believed(name string) bool {
+// hasRight reports whether this VM's right to the lease is held or provisional; it may have lapsed. m.mu is held.
+func (m *Manager) hasRight(name string) bool {
 	r := m.rights[name]
-	return r != nil && (r.life.State() == stateHeld || r.life.State() == stateProvisional)
+	return r != nil && (r.lifecycle.State() == stateHeld || r.lifecycle.State() == stateProvisional)
 }
 
-// turn returns when this VM may claim an open lease: the VM that it is meant for and the first one in
-// rendezvous order at once, each further one a step later. m.mu is held.
-func (m *Manager) turn(name string, l lease, live []membership.Member, now time.Time) time.Time {
-	if _, ok := m.openSince[name]; !ok {
-		m.openSince[name] = now
+// claimTime returns when this VM may claim a lease that is claimable. The intended holder and the first VM in
+// rendezvous order may claim at once, each further VM one RankStep later. m.mu is held.
+func (m *Manager) claimTime(name string, l lease, live []membership.Member, now time.Time) time.Time {
+	if _, ok := m.claimableSince[name]; !ok {
+		m.claimableSince[name] = now
 	}
-	rank := slices.Index(membership.Rank(name, ids(live)), m.cfg.ID)
+	rank := slices.Index(membership.Rank(name, memberIDs(live)), m.cfg.ID)
 	if rank < 0 {
 		rank = len(live)
 	}
-	if l.Holder == "" && l.For == m.cfg.ID {
+	if l.Holder == "" && l.IntendedHolder == m.cfg.ID {
 		rank = 0
 	}
-	at := m.openSince[name].Add(time.Duration(rank) * m.cfg.RankStep)
-	if until := m.yieldUntil[name]; until.After(at) {
+	at := m.claimableSince[name].Add(time.Duration(rank) * m.cfg.RankStep)
+	if until := m.noClaimBefore[name]; until.After(at) {
 		return until
 	}
 	return at
@@ -259,23 +261,23 @@
 
 // planClaim adds one claim. m.mu is held.
 func (m *Manager) planClaim(p *plan, name string, l lease, live []membership.Member) {
-	c := change{name: name, row: m.row(name, nextFencing(l.Fencing), live), version: l.version}
-	c.row.Lingering = m.lingering(l)
-	c.row.Recent = l.remember()
+	c := rowChange{name: name, row: m.newRow(name, nextFencing(l.Fencing), live), version: l.version}
+	c.row.LingeringHolders = m.lingeringHolders(l)
+	c.row.Recent = l.recentHolders()
 	c.note = m.notes[name]
 	if l.Holder == "" {
 		c.state = l.State
 	}
 	m.fire(name, m.right(name), eventClaim)
 	p.claims = append(p.claims, c)
-	// The claim ends the holder's session, or rests on its being over: it must not have been renewed
-	// or revived since. A session of a later incarnation is another matter.
+	// The claim ends the holder's session, or requires that it is over: the write must fail if the session has
+	// been renewed or revived since. The session of a later incarnation does not matter.
 	if s, ok := m.sessions[l.Holder]; ok && l.Holder != m.cfg.ID && s.Incarnation == l.Incarnation {
 		p.end(s)
 	}
 }
 
-// end adds a session to end.
+// end adds a session to those that the plan ends.
 func (p *plan) end(s session) {
 	if p.ends == nil {
 		p.ends = map[string]session{}
@@ -283,25 +285,25 @@
 	p.ends[s.VM] = s
 }
 
-// row returns a lease row that names this VM. m.mu is held.
-func (m *Manager) row(name string, fencing uint64, live []membership.Member) leaseRow {
+// newRow returns a lease row that names this VM as the holder, with successors in rendezvous order. m.mu is held.
+func (m *Manager) newRow(name string, fencing uint64, live []membership.Member) leaseRow {
 	row := leaseRow{Holder: m.cfg.ID, Incarnation: m.cfg.Incarnation, Address: m.cfg.Address, Fencing: fencing}
 	byID := map[string]membership.Member{}
 	for _, member := range live {
 		byID[member.ID] = member
 	}
-	for _, id := range membership.Rank(name, ids(live)) {
+	for _, id := range membership.Rank(name, memberIDs(live)) {
 		if id == m.cfg.ID || len(row.Successors) == maxSuccessors {
 			continue
 		}
-		row.Successors = append(row.Successors, successor{VM: id, Incarnation: byID[id].Incarnation})
+		row.Successors = append(row.Successors, vmIncarnation{VM: id, Incarnation: byID[id].Incarnation})
 	}
 	return row
 }
 
-// firstOther returns the first live VM other than this one in rendezvous order.
+// firstOther returns the first live VM in rendezvous order other than this one, or a zero Member.
 func (m *Manager) firstOther(name string, live []membership.Member) membership.Member {
-	for _, id := range membership.Rank(name, ids(live)) {
+	for _, id := range membership.Rank(name, memberIDs(live)) {
 		if id == m.cfg.ID {
 			continue
 		}
@@ -314,7 +316,7 @@
 	return membership.Member{}
 }
 
-func ids(members []membership.Member) []string {
+func memberIDs(members []membership.Member) []string {
 	list := make([]string, len(members))
 	for i, member := range members {
 		list[i] = member.ID
--- a/pkg/lease/rows.go
+++ b/pkg/lease/rows.go
@@ -17,116 +17,125 @@
 	notePrefix    = rowPrefix + "note/"
 )
 
-// fencingStep is the distance between two fencing numbers that the table gives. The numbers between
-// are for takeovers without the table, one for each rank of successor.
+// fencingStep is the distance between the fencing numbers of two successive claims in the table. The
+// numbers in between are for takeovers without the table, one for each successor rank.
 const fencingStep = 1024
 
-// maxFencing bounds the numbers in rows, so that the next one can be formed.
+// maxFencing bounds the fencing numbers in rows, so that the next one can be computed without overflow.
 const maxFencing = 1 << 62
 
-// maxSuccessors bounds the successors that a row names.
+// maxSuccessors is the maximum number of successors in a lease row.
 const maxSuccessors = 4
 
-// sessionRow is a VM's proof of life in the table. Its renewal renews all leases of the VM.
+// sessionRow is a VM's session in the table. By renewing its session the VM shows that it is alive, and
+// renews all its leases.
 type sessionRow struct {
 	VM          string        `json:"vm"`
 	Incarnation string        `json:"incarnation"`
 	Address     string        `json:"address"`
 	Counter     uint64        `json:"counter"`
 	Duration    time.Duration `json:"duration_ns"`
-	// Seen is the highest table version among the session rows that the VM had listed.
-	Seen uint64 `json:"seen"`
-	// Capacity says how much work the VM can bear, compared with others.
+	// SessionVersionSeen is the highest table version among the session rows that the VM had listed when it
+	// wrote this row.
+	SessionVersionSeen uint64 `json:"seen"`
+	// Capacity is the VM's relative capacity for work, compared with other VMs.
 	Capacity float64 `json:"capacity,omitempty"`
-	// Able says that the VM could claim a lease that is handed over to it.
-	Able     bool `json:"able,omitempty"`
+	// CanClaim says that the VM could claim a lease that is handed over to it.
+	CanClaim bool `json:"able,omitempty"`
 	Draining bool `json:"draining,omitempty"`
-	// Ended is set by a claimant, Closed by the VM itself when it stops for good.
+	// Ended is set by another VM, which claims the leases of this one or cleans up its lapsed session. Closed is
+	// set by the VM itself at the end of a drain.
 	Ended  bool `json:"ended,omitempty"`
 	Closed bool `json:"closed,omitempty"`
-	// malformed says that the row could not be read; nothing is concluded from it.
+	// malformed says that the row could not be decoded; no conclusion about the VM may be drawn from it.
 	malformed bool
 }
 
+// over reports whether the session has ended, by whatever means.
 func (s sessionRow) over() bool { return s.Ended || s.Closed }
 
-// leaseRow is one lease. Holder is empty after a handover until a successor has claimed it.
+// leaseRow is the row of one lease. Holder is empty from a handover until another VM has claimed the lease.
 type leaseRow struct {
-	Holder      string      `json:"holder,omitempty"`
-	Incarnation string      `json:"incarnation,omitempty"`
-	Address     string      `json:"address,omitempty"`
-	Fencing     uint64      `json:"fencing"`
-	Successors  []successor `json:"successors,omitempty"`
-	// Recent are the VMs that have held the lease, the last one first.
+	Holder      string `json:"holder,omitempty"`
+	Incarnation string `json:"incarnation,omitempty"`
+	Address     string `json:"address,omitempty"`
+	Fencing     uint64 `json:"fencing"`
+	// Successors are the VMs that may take the lease over without the table, in this order.
+	Successors []vmIncarnation `json:"successors,omitempty"`
+	// Recent lists the VMs that held the lease before, most recent first.
 	Recent []string `json:"recent,omitempty"`
-	// For is the VM that a lease without a holder is meant for, which claims it at once.
-	For string `json:"for,omitempty"`
-	// Lingering are the earlier holders that have neither handed over nor been proven gone, so that
-	// orders of theirs may still arrive.
-	Lingering []successor `json:"lingering,omitempty"`
-	// State is what the last holder passed on when it handed the lease over.
+	// IntendedHolder is the VM that a lease without a holder was handed over to. That VM claims it without delay.
+	IntendedHolder string `json:"for,omitempty"`
+	// LingeringHolders are the earlier holders that have neither handed over nor been proven gone, so that
+	// their orders may still arrive at an endpoint.
+	LingeringHolders []vmIncarnation `json:"lingering,omitempty"`
+	// State is the data that the last holder passed on when it handed the lease over.
 	State []byte `json:"state,omitempty"`
-	// malformed says that the row could not be read; nobody may claim it.
+	// malformed says that the row could not be decoded; no VM may claim the lease.
 	malformed bool
 }
 
-// successor is a VM that may take the lease over without the table. A later incarnation may not.
-type successor struct {
+// vmIncarnation identifies one incarnation of a VM. Only the incarnation that a row names as a successor may take
+// the lease over without the table, not a later one of the same VM.
+type vmIncarnation struct {
 	VM          string `json:"vm"`
 	Incarnation string `json:"incarnation"`
 }
 
-// seenAt holds when this VM has had replies that show a row. All times are those of the replies.
-type seenAt struct {
-	// since is the first reply that showed this version, shown the last one, and before the last
-	// one that showed the version before it, zero if none did.
-	since, shown, before time.Time
+// rowTimes records when this VM received listings that contain a row. All times are those at which the
+// response of the table arrived.
+type rowTimes struct {
+	// firstSeen and lastSeen are the first and last times at which this version of the row was listed.
+	// previousLastSeen is the last time at which an earlier version was listed; zero if none was.
+	firstSeen, lastSeen, previousLastSeen time.Time
 }
 
-// next returns the times for a row shown at now, of the same version as before or of another.
-func (t seenAt) next(now time.Time, same bool) seenAt {
-	if same {
-		return seenAt{since: t.since, shown: now, before: t.before}
+// updated returns the times after a listing at now. sameVersion says that the version of the row has not
+// changed since the previous listing.
+func (t rowTimes) updated(now time.Time, sameVersion bool) rowTimes {
+	if sameVersion {
+		return rowTimes{firstSeen: t.firstSeen, lastSeen: now, previousLastSeen: t.previousLastSeen}
 	}
-	return seenAt{since: now, shown: now, before: t.shown}
+	return rowTimes{firstSeen: now, lastSeen: now, previousLastSeen: t.lastSeen}
 }
 
-// maxRecent bounds the VMs in Recent.
-const maxRecent = 4
+// maxRecentHolders is the maximum number of VMs in leaseRow.Recent.
+const maxRecentHolders = 4
 
-// remember returns the VMs that have held the lease once its holder has it no more.
-func (l leaseRow) remember() []string {
+// recentHolders returns the value of Recent for a row that no longer names the current holder: that holder,
+// if there is one, followed by the earlier ones.
+func (l leaseRow) recentHolders() []string {
 	if l.Holder == "" {
 		return l.Recent
 	}
 	recent := []string{l.Holder}
 	for _, vm := range l.Recent {
-		if vm != l.Holder && len(recent) < maxRecent {
+		if vm != l.Holder && len(recent) < maxRecentHolders {
 			recent = append(recent, vm)
 		}
 	}
 	return recent
 }
 
-// session is a sessionRow as read.
+// session is a sessionRow as last listed or written.
 type session struct {
 	sessionRow
-	seenAt
+	rowTimes
 	version uint64
 	attempt string
 }
 
-// lease is a leaseRow as read.
+// lease is a leaseRow as last listed or written.
 type lease struct {
 	leaseRow
-	seenAt
+	rowTimes
 	version uint64
 }
 
 func decodeSession(row platform.Row) (sessionRow, error) {
 	var s sessionRow
 	if err := json.Unmarshal(row.Value, &s); err != nil {
-		return s, errors.Wrapf(err, "row %s", row.Key)
+		return s, errors.Wrapf(err, "decode session row %s", row.Key)
 	}
 	return s, nil
 }
@@ -134,15 +143,15 @@
 func decodeLease(row platform.Row) (leaseRow, error) {
 	var l leaseRow
 	if err := json.Unmarshal(row.Value, &l); err != nil {
-		return l, errors.Wrapf(err, "row %s", row.Key)
+		return l, errors.Wrapf(err, "decode lease row %s", row.Key)
 	}
 	if l.Fencing > maxFencing {
-		return l, errors.Errorf("row %s: fencing number %d", row.Key, l.Fencing)
+		return l, errors.Errorf("row %s: fencing number %d exceeds the maximum", row.Key, l.Fencing)
 	}
 	return l, nil
 }
 
-// encode marshals one of the row types of this package, which cannot fail.
+// encode marshals one of the row types of this package, for which marshalling cannot fail.
 func encode(row any) []byte {
 	data, err := json.Marshal(row)
 	if err != nil {
@@ -151,9 +160,10 @@
 	return data
 }
 
+// nextFencing returns the fencing number of the next claim in the table.
 func nextFencing(f uint64) uint64 { return (f/fencingStep + 1) * fencingStep }
 
-// provisionalFencing returns the number of a takeover without the table: by the VM that the row
-// names itself for rank 0, by the successor of that rank counted from 1 otherwise. It is below the
-// next number that the table gives, and a later successor's is above an earlier one's.
+// provisionalFencing returns the fencing number of a takeover without the table. Rank 0 is the holder that
+// the row names; the successors have ranks from 1 on. The number is below that of the next claim in the
+// table, and a successor of a higher rank gets a higher number.
 func provisionalFencing(f uint64, rank int) uint64 { return f + 1 + uint64(rank) }
--- a/pkg/lease/schedules_test.go
+++ b/pkg/lease/schedules_test.go
@@ -29,29 +29,30 @@
 	networkDelay      = 5 * time.Millisecond
 )
 
-// engine is an endpoint that takes orders from the holders of a lease.
+// engine is an endpoint that receives orders from the holders of a lease, and records violations of the lease's
+// guarantees.
 type engine struct {
 	f *fleet
 
 	mu sync.Mutex
-	// highest is the highest fencing number seen in an order, cleared the highest of a holder that
-	// was told that no order of earlier holders can still arrive.
+	// highest is the highest fencing number received in an order, cleared the highest of a holder whose grant
+	// said that no order of earlier holders can still arrive.
 	highest, cleared uint64
-	// givers maps fencing numbers to the processes that have used them.
-	givers map[uint64]string
-	faults []string
-	// uses is the history of successful checks of the right, for which the input is the fencing number.
+	// owners maps fencing numbers to the processes to which they were granted.
+	owners     map[uint64]string
+	violations []string
+	// uses is the history of successful checks of the right, with the fencing number as the input.
 	uses []porcupine.Operation
 }
 
-// fencingModel says that the numbers under which a right is used never fall.
+// fencingModel requires that the fencing numbers under which a right is used never decrease.
 var fencingModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, _ any) (bool, any) { return input.(uint64) >= state.(uint64), input },
 }
 
-// used records a successful check of the right. e.mu is not held.
-func (e *engine) used(fencing uint64, from, to time.Time) {
+// recordUse records a successful check of the right. e.mu is not held.
+func (e *engine) recordUse(fencing uint64, from, to time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.uses = append(e.uses, porcupine.Operation{
@@ -59,15 +60,15 @@
 	})
 }
 
-// history returns the uses so far. The givers go on meanwhile.
+// history returns a copy of the uses so far, because the owners continue to add to them.
 func (e *engine) history() []porcupine.Operation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.uses)
 }
 
-// spans describes the history of uses: for each fencing number, who used it, from when to when.
-func (e *engine) spans() string {
+// describeUses describes the history of uses: for each fencing number, which process used it, from when to when.
+func (e *engine) describeUses() string {
 	type span struct{ from, to int64 }
 	spans := map[uint64]span{}
 	var numbers []uint64
@@ -88,14 +89,14 @@
 	defer e.mu.Unlock()
 	for _, number := range numbers {
 		s := spans[number]
-		fmt.Fprintf(&b, "%d by %s: %s to %s\n", number, e.givers[number], time.Duration(s.from-first), time.Duration(s.to-first))
+		fmt.Fprintf(&b, "%d by %s: %s to %s\n", number, e.owners[number], time.Duration(s.from-first), time.Duration(s.to-first))
 	}
-	e.writeViolations(&b, first)
+	e.writeOutOfOrderUses(&b, first)
 	return b.String()
 }
 
-// writeViolations describes the uses that began after one with a higher number had ended. e.mu is held.
-func (e *engine) writeViolations(b *strings.Builder, first int64) {
+// writeOutOfOrderUses describes the uses that began after a use with a higher number had ended. e.mu is held.
+func (e *engine) writeOutOfOrderUses(b *strings.Builder, first int64) {
 	for _, low := range e.uses {
 		for _, high := range e.uses {
 			if low.Input.(uint64) < high.Input.(uint64) && low.Call > high.Return {
@@ -107,114 +108,115 @@
 	}
 }
 
-// seen returns the faults so far.
-func (e *engine) seen() []string {
+// reported returns the violations reported so far.
+func (e *engine) reported() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.faults)
+	return slices.Clone(e.violations)
 }
 
-// report records a fault. e.mu is not held.
+// report records a violation. e.mu is not held.
 func (e *engine) report(format string, args ...any) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fault(format, args...)
+	e.reportLocked(format, args...)
 }
 
-// fault records a fault. e.mu is held.
-func (e *engine) fault(format string, args ...any) {
-	e.faults = append(e.faults, fmt.Sprintf(format, args...))
+// reportLocked records a violation. e.mu is held.
+func (e *engine) reportLocked(format string, args ...any) {
+	e.violations = append(e.violations, fmt.Sprintf(format, args...))
 }
 
-// gained takes in that a process has been told that it holds the lease.
-func (e *engine) gained(giver string, grant lease.Grant) {
+// recordGrant records that a process has been granted the lease.
+func (e *engine) recordGrant(owner string, grant lease.Grant) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if other, ok := e.givers[grant.Fencing]; ok && other != giver {
-		e.fault("%s and %s have fencing number %d", other, giver, grant.Fencing)
+	if other, ok := e.owners[grant.Fencing]; ok && other != owner {
+		e.reportLocked("%s and %s both have fencing number %d", other, owner, grant.Fencing)
 	}
-	e.givers[grant.Fencing] = giver
+	e.owners[grant.Fencing] = owner
 	if grant.PreviousProvenGone {
 		e.cleared = max(e.cleared, grant.Fencing)
 	}
 }
 
-// order takes in an order that has arrived. An endpoint that checks fencing numbers refuses those
-// below the highest; on one that ignores them, they must not arrive any more once a later holder
-// relies on that.
-func (e *engine) order(giver string, fencing uint64) {
+// receiveOrder handles an order that has arrived. An endpoint that checks fencing numbers would refuse numbers
+// below the highest. An endpoint that ignores them must not receive such orders once a later holder has been
+// granted the lease with PreviousProvenGone, because that holder relies on it.
+func (e *engine) receiveOrder(owner string, fencing uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if fencing < e.cleared {
-		e.fault("order %d of %s arrived after holder %d was told that none would", fencing, giver, e.cleared)
+		e.reportLocked("order with fencing number %d of %s arrived after holder %d was told that no earlier orders would", fencing, owner, e.cleared)
 	}
 	e.highest = max(e.highest, fencing)
 }
 
-// giver gives the engine orders on behalf of one VM.
-type giver struct {
+// engineOwner sends orders to the engine on behalf of one VM while the VM holds the lease.
+type engineOwner struct {
 	v      *fleettest.VM
 	engine *engine
-	name   string
+	lease  string
 	rnd    *rand.Rand
-	// order is taken while an order is under way.
-	order chan struct{}
+	// sending is a semaphore of one, held while an order is in flight.
+	sending chan struct{}
 }
 
-func (g *giver) id() string { return g.v.ID + "/" + g.v.Incarnation }
+func (o *engineOwner) id() string { return o.v.ID + "/" + o.v.Incarnation }
 
-// LeaseGained tells the engine.
-func (g *giver) LeaseGained(grant lease.Grant) {
-	if grant.Name == g.name {
-		g.engine.gained(g.id(), grant)
+// LeaseGained records the grant at the engine.
+func (o *engineOwner) LeaseGained(grant lease.Grant) {
+	if grant.Name == o.lease {
+		o.engine.recordGrant(o.id(), grant)
 	}
 }
 
-// LeaseLost waits for the order under way.
-func (g *giver) LeaseLost(string) {
-	g.order <- struct{}{}
-	defer func() { <-g.order }()
+// LeaseLost waits for the order in flight.
+func (o *engineOwner) LeaseLost(string) {
+	o.sending <- struct{}{}
+	defer func() { <-o.sending }()
 }
 
-// run gives orders until the VM ends. An order may be held up between the check and the sending.
-func (g *giver) run() {
-	for g.v.Ctx.Err() == nil {
-		time.Sleep(time.Duration(g.rnd.Int63n(int64(200 * time.Millisecond))))
-		g.v.Gate.Pass()
-		if g.v.Ctx.Err() != nil {
+// run sends orders until the VM stops. An order may be delayed between the check of the right and the sending.
+func (o *engineOwner) run() {
+	for o.v.Ctx.Err() == nil {
+		time.Sleep(time.Duration(o.rnd.Int63n(int64(200 * time.Millisecond))))
+		o.v.Gate.Pass()
+		if o.v.Ctx.Err() != nil {
 			// The process was killed while this goroutine slept.
 			return
 		}
-		g.give()
+		o.send()
 	}
 }
 
-func (g *giver) give() {
-	g.order <- struct{}{}
-	defer func() { <-g.order }()
+// send checks the right and sends one order.
+func (o *engineOwner) send() {
+	o.sending <- struct{}{}
+	defer func() { <-o.sending }()
 	from := time.Now()
-	grant, ok := g.v.Manager.Held(g.name)
+	grant, ok := o.v.Manager.Held(o.lease)
 	if !ok {
 		return
 	}
-	g.engine.used(grant.Fencing, from, time.Now())
-	if g.rnd.Intn(10) == 0 {
-		time.Sleep(time.Duration(g.rnd.Int63n(int64(orderDelayLimit))))
+	o.engine.recordUse(grant.Fencing, from, time.Now())
+	if o.rnd.Intn(10) == 0 {
+		time.Sleep(time.Duration(o.rnd.Int63n(int64(orderDelayLimit))))
 	}
-	g.v.Gate.Pass()
-	if g.v.Ctx.Err() == nil {
+	o.v.Gate.Pass()
+	if o.v.Ctx.Err() == nil {
 		time.Sleep(networkDelay)
-		g.engine.order(g.id(), grant.Fencing)
+		o.engine.receiveOrder(o.id(), grant.Fencing)
 	}
 }
 
-// watch samples the holders of every lease until the fleet stops.
-func (e *engine) watch(names []string) {
+// sampleHolders samples the holders of every lease until the fleet stops.
+func (e *engine) sampleHolders(names []string) {
 	for e.f.Ctx.Err() == nil {
 		for _, name := range names {
 			if holders := e.f.Holders(name); len(holders) > 1 {
 				e.mu.Lock()
-				e.fault("%s held by %s and %s", name, holders[0].ID, holders[1].ID)
+				e.reportLocked("%s is held by both %s and %s", name, holders[0].ID, holders[1].ID)
 				e.mu.Unlock()
 			}
 		}
@@ -222,6 +224,8 @@
 	}
 }
 
+// TestSchedules runs seeded random schedules of faults: at no time may two VMs hold one lease, fencing numbers must
+// never decrease, and each lease must have one holder after the faults.
 func TestSchedules(t *testing.T) {
 	names := []string{"group/a", "account/x", lease.Budget}
 	for i := range *schedules {
@@ -236,17 +240,17 @@
 
 func runSchedule(t *testing.T, seed int64, names []string) {
 	rnd := rand.New(rand.NewSource(seed))
-	e := &engine{givers: map[uint64]string{}}
+	e := &engine{owners: map[uint64]string{}}
 	runFleetWith(t, seed, func(f *fleet) {
 		e.f = f
 		f.Names = names
 		f.Attach = func(v *fleettest.VM) fleettest.Attachment {
-			g := &giver{v: v, engine: e, name: names[0], rnd: v.Rand(seed), order: make(chan struct{}, 1)}
-			go g.run()
-			return fleettest.Attachment{Listener: g}
+			owner := &engineOwner{v: v, engine: e, lease: names[0], rnd: v.Rand(seed), sending: make(chan struct{}, 1)}
+			go owner.run()
+			return fleettest.Attachment{Listener: owner}
 		}
 		f.StartAll(3 + rnd.Intn(5))
-		go e.watch(names)
+		go e.sampleHolders(names)
 		chaos := fleettest.NewChaos(f.Fleet, seed)
 		chaos.Run(faultsPerSchedule)
 		for _, name := range names {
@@ -255,11 +259,11 @@
 			}
 		}
 		if !porcupine.CheckOperations(fencingModel, e.history()) {
-			e.report("the uses of %s cannot be put in order by fencing number:\n%s", names[0], e.spans())
+			e.report("the uses of %s cannot be ordered by fencing number:\n%s", names[0], e.describeUses())
 		}
-		if faults := e.seen(); len(faults) > 0 {
-			f.t.Errorf("seed %d:\n%s\n%s", seed, strings.Join(chaos.Trace, "\n"), strings.Join(faults, "\n"))
-			f.t.Logf("log:\n%s", f.lines.String())
+		if violations := e.reported(); len(violations) > 0 {
+			f.t.Errorf("seed %d:\n%s\n%s", seed, strings.Join(chaos.Trace, "\n"), strings.Join(violations, "\n"))
+			f.t.Logf("log:\n%s", f.logOutput.String())
 		}
 	})
 }
--- a/pkg/lease/snapshot.go
+++ b/pkg/lease/snapshot.go
@@ -17,7 +17,7 @@
 	Leases    []State        `json:"leases"`
 }
 
-// SessionState describes one VM's session as listed last.
+// SessionState describes one VM's session as last listed.
 type SessionState struct {
 	VM          string        `json:"vm"`
 	Incarnation string        `json:"incarnation"`
@@ -33,7 +33,7 @@
 	Holder  string      `json:"holder"`
 	Fencing uint64      `json:"fencing"`
 	State   chart.State `json:"state"`
-	// Remaining is how much longer this VM may use the lease without another renewal.
+	// Remaining is how much longer this VM may use the lease without another renewal or extension.
 	Remaining time.Duration `json:"remaining_ns"`
 }
 
@@ -42,10 +42,10 @@
 	now := time.Now()
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	snap := Snapshot{StoreDown: m.upSince.IsZero(), Draining: m.draining, Remaining: m.remaining(m.own.base, now)}
+	snap := Snapshot{StoreDown: m.upSince.IsZero(), Draining: m.draining, Remaining: m.remaining(m.own.validFrom, now)}
 	for vm, s := range m.sessions {
 		snap.Sessions = append(snap.Sessions, SessionState{
-			VM: vm, Incarnation: s.Incarnation, Counter: s.Counter, Unchanged: now.Sub(s.since),
+			VM: vm, Incarnation: s.Incarnation, Counter: s.Counter, Unchanged: now.Sub(s.firstSeen),
 			Over: s.over(), Gone: m.fleet.Gone(vm, s.Incarnation),
 		})
 	}
@@ -64,17 +64,18 @@
 	if r == nil {
 		return state
 	}
-	state.State = r.life.State()
+	state.State = r.lifecycle.State()
 	switch state.State {
 	case stateHeld:
-		state.Remaining = m.remaining(m.own.base, now)
+		state.Remaining = m.remaining(m.own.validFrom, now)
 	case stateProvisional:
 		state.Holder, state.Fencing = m.cfg.ID, r.grant.Fencing
-		state.Remaining = m.remaining(r.base, now)
+		state.Remaining = m.remaining(r.validFrom, now)
 	}
 	return state
 }
 
-func (m *Manager) remaining(base, now time.Time) time.Duration {
-	return max(m.cfg.Duration-clock.Elapsed(base, now), 0)
+// remaining returns how much is left of a duration that began at validFrom.
+func (m *Manager) remaining(validFrom, now time.Time) time.Duration {
+	return max(m.cfg.Duration-clock.Elapsed(validFrom, now), 0)
 }
--- a/pkg/lease/tick.go
+++ b/pkg/lease/tick.go
@@ -15,13 +15,13 @@
 	"github.com/mallowlink/mallowlink/pkg/platform"
 )
 
-// tick reads the rows, and writes this VM's session together with every claim, confirmation and
-// handover that is due. It returns when a claim will be due next, zero if none is foreseen.
+// tick lists the rows, and writes this VM's session together with every claim, confirmation and
+// handover that is due. It returns the time at which the next claim will be due, zero if none is foreseen.
 func (m *Manager) tick(ctx context.Context) time.Time {
 	if m.isClosed() {
 		return time.Time{}
 	}
-	if m.calm(time.Now()) {
+	if m.canSkipListing(time.Now()) {
 		m.commit(ctx, m.plan(false, time.Now()))
 		return time.Time{}
 	}
@@ -39,22 +39,22 @@
 	return p.due
 }
 
-// calm reports whether the rows need not be listed now: they were listed lately, nothing has happened
-// since, and every lease has a holder that answers and that the table answers.
-func (m *Manager) calm(now time.Time) bool {
+// canSkipListing reports whether the rows need not be listed now: they were listed recently, nothing has changed
+// since, and every lease has a holder that is live and does not report the table as down.
+func (m *Manager) canSkipListing(now time.Time) bool {
 	members := m.fleet.Live()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	live := map[string]bool{}
-	known := true
+	allListed := true
 	for _, member := range members {
 		live[member.ID] = !member.StoreDown
-		// A VM without a listed session waits for this one to have listed it.
-		known = known && (member.ID == m.cfg.ID || m.sessions[member.ID].Incarnation == member.Incarnation)
+		// A VM whose session this VM has not listed yet claims nothing until this VM has.
+		allListed = allListed && (member.ID == m.cfg.ID || m.sessions[member.ID].Incarnation == member.Incarnation)
 	}
-	woken := m.woken || !known
+	woken := m.woken || !allListed
 	m.woken = false
-	if woken || m.draining || m.upSince.IsZero() || m.own.created == 0 || now.Sub(m.rowsBase) >= m.cfg.ListPeriod {
+	if woken || m.draining || m.upSince.IsZero() || m.own.created == 0 || now.Sub(m.rowsCurrentAt) >= m.cfg.ListPeriod {
 		return false
 	}
 	if len(m.released) > 0 || len(m.releasing) > 0 || len(m.own.unresolved) > 0 {
@@ -79,38 +79,39 @@
 	return m.closed
 }
 
-// markDown ends the run of answers from the table.
+// markDown records that the table does not respond.
 func (m *Manager) markDown(cause string) {
 	m.mu.Lock()
 	was := m.upSince
 	m.upSince = time.Time{}
 	m.mu.Unlock()
 	if !was.IsZero() {
-		m.log.WithFields(logrus.Fields{"event": "store_down", "cause": cause}).Warn()
+		m.log.WithFields(logrus.Fields{"event": "store_down", "cause": cause}).Warn("lease table does not respond")
 		m.fleet.Announce()
 	}
 }
 
+// markUp records that the table responds.
 func (m *Manager) markUp() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.upSince.IsZero() {
 		m.upSince = time.Now()
-		m.log.WithField("event", "store_up").Info()
+		m.log.WithField("event", "store_up").Info("lease table responds")
 	}
 }
 
-// window reports whether no VM can hold a lease by its peers' word that the table is down, but for those
-// that they claim: the table has answered for long enough, or every VM says that it answers. m.mu is
-// held.
-func (m *Manager) window(now time.Time) bool {
-	return !m.upSince.IsZero() && (!now.Before(m.windowOpens()) || len(m.unvouched()) == 0)
+// claimWindowOpen reports whether a claim is safe from VMs that extend their leases because their peers report the
+// table as down. Then no VM can hold a lease that way, except leases that it announces as its claims: either the
+// table has responded for long enough, or every VM reports that the table responds to it. m.mu is held.
+func (m *Manager) claimWindowOpen(now time.Time) bool {
+	return !m.upSince.IsZero() && (!now.Before(m.claimWindowStart()) || len(m.unconfirmedVMs()) == 0)
 }
 
-// unvouched returns the VMs that could hold a lease by their peers' word and have not said, since the table
-// has answered this VM, that it answers them too. Once they have, none of them can have this VM's word that
-// the table is down. m.mu is held.
-func (m *Manager) unvouched() []string {
+// unconfirmedVMs returns the VMs that could hold a lease extended on their peers' reports, and that have not
+// reported, since the table began to respond to this VM, that the table responds to them too. Once they have, none
+// of them can still rely on an earlier report of this VM that the table is down. m.mu is held.
+func (m *Manager) unconfirmedVMs() []string {
 	var list []string
 	for vm, s := range m.sessions {
 		if vm == m.cfg.ID || s.over() || !s.malformed && m.fleet.Gone(vm, s.Incarnation) {
@@ -124,16 +125,17 @@
 	return list
 }
 
-// windowOpens returns when window will hold, zero while the table is down. m.mu is held.
-func (m *Manager) windowOpens() time.Time {
+// claimWindowStart returns the time from which claimWindowOpen holds without reports of other VMs, zero while the
+// table is down. m.mu is held.
+func (m *Manager) claimWindowStart() time.Time {
 	if m.upSince.IsZero() {
 		return time.Time{}
 	}
 	return m.upSince.Add(m.longestDuration() + m.cfg.Margin)
 }
 
-// longestDuration returns the longest duration of any VM's session: VMs whose settings differ may go
-// on for longer by their peers' word. m.mu is held.
+// longestDuration returns the longest duration of any VM's session: VMs with other settings may extend
+// their leases for longer on their peers' reports. m.mu is held.
 func (m *Manager) longestDuration() time.Duration {
 	longest := m.cfg.Duration
 	for _, s := range m.sessions {
@@ -142,7 +144,7 @@
 	return longest
 }
 
-// refresh lists the rows. It reports false if the table did not answer.
+// refresh lists the rows. It reports false if the table did not respond.
 func (m *Manager) refresh(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.StoreTimeout)
 	defer cancel()
@@ -152,26 +154,26 @@
 		m.markDown("list")
 		return false
 	}
-	sessions, leases, notes := split(rows)
+	sessions, leases, notes := splitRows(rows)
 	now := time.Now()
 	m.mu.Lock()
-	m.takeSessions(sessions, now)
-	m.takeLeases(leases, now)
+	m.storeSessions(sessions, now)
+	m.storeLeases(leases, now)
 	m.notes = notes
 	m.listed = true
-	m.rowsBase = sent
-	m.syncOwn(now)
+	m.rowsCurrentAt = sent
+	m.syncOwnSession(now)
 	m.reconcile(now)
 	sightings := m.sightings(now)
 	m.mu.Unlock()
-	for _, seen := range sightings {
-		m.fleet.Learn(seen)
+	for _, sighting := range sightings {
+		m.fleet.Learn(sighting)
 	}
 	return true
 }
 
-// split tells the session rows, the lease rows and the notes apart.
-func split(rows []platform.Row) (sessions, leases []platform.Row, notes map[string][]byte) {
+// splitRows separates the rows into session rows, lease rows and notes. Notes are returned by lease name.
+func splitRows(rows []platform.Row) (sessions, leases []platform.Row, notes map[string][]byte) {
 	notes = map[string][]byte{}
 	for _, row := range rows {
 		if name, ok := strings.CutPrefix(row.Key, notePrefix); ok {
@@ -187,7 +189,7 @@
 	return sessions, leases, notes
 }
 
-// sightings returns what the listing at now tells of VMs. m.mu is held.
+// sightings returns, for the membership registry, what the listing at now shows of the VMs. m.mu is held.
 func (m *Manager) sightings(now time.Time) []membership.Sighting {
 	var list []membership.Sighting
 	for vm, s := range m.sessions {
@@ -196,27 +198,27 @@
 		}
 		list = append(list, membership.Sighting{
 			ID: vm, Incarnation: s.Incarnation, PeerAddress: s.Address,
-			Renewed: s.since.Equal(now) && !s.before.IsZero() && !s.Ended, Draining: s.Draining,
+			Renewed: s.firstSeen.Equal(now) && !s.previousLastSeen.IsZero() && !s.Ended, Draining: s.Draining,
 		})
 	}
 	return list
 }
 
-// takeSessions replaces the known session rows. m.mu is held.
-func (m *Manager) takeSessions(rows []platform.Row, now time.Time) {
+// storeSessions replaces the known session rows with those of a listing. m.mu is held.
+func (m *Manager) storeSessions(rows []platform.Row, now time.Time) {
 	sessions := make(map[string]session, len(rows))
 	for _, row := range rows {
-		m.seen = max(m.seen, row.Version)
+		m.sessionVersionSeen = max(m.sessionVersionSeen, row.Version)
 		value, err := decodeSession(row)
 		if err != nil {
-			m.log.WithError(err).WithField("event", "session_row_malformed").Error()
+			m.log.WithError(err).WithField("event", "session_row_malformed").Error("cannot decode a session row")
 			value = sessionRow{malformed: true}
 		}
 		value.VM = strings.TrimPrefix(row.Key, sessionPrefix)
 		old := m.sessions[value.VM]
 		sessions[value.VM] = session{
 			sessionRow: value,
-			seenAt:     old.next(now, old.version == row.Version),
+			rowTimes:   old.updated(now, old.version == row.Version),
 			version:    row.Version,
 			attempt:    row.Attempt,
 		}
@@ -224,29 +226,30 @@
 	m.sessions = sessions
 }
 
-// takeLeases replaces the known lease rows. m.mu is held.
-func (m *Manager) takeLeases(rows []platform.Row, now time.Time) {
+// storeLeases replaces the known lease rows with those of a listing. m.mu is held.
+func (m *Manager) storeLeases(rows []platform.Row, now time.Time) {
 	leases := make(map[string]lease, len(rows))
 	for _, row := range rows {
-		m.leaseSeen = max(m.leaseSeen, row.Version)
+		m.leaseVersionSeen = max(m.leaseVersionSeen, row.Version)
 		name := strings.TrimPrefix(row.Key, leasePrefix)
 		value, err := decodeLease(row)
 		if err != nil {
-			m.log.WithError(err).WithField("event", "lease_row_malformed").Error()
+			m.log.WithError(err).WithField("event", "lease_row_malformed").Error("cannot decode a lease row")
 			value = leaseRow{malformed: true}
 		}
 		old := m.leases[name]
 		leases[name] = lease{
 			leaseRow: value,
-			seenAt:   old.next(now, old.version == row.Version),
+			rowTimes: old.updated(now, old.version == row.Version),
 			version:  row.Version,
 		}
 	}
 	m.leases = leases
 }
 
-// syncOwn compares this VM's session with its row as listed. m.mu is held.
-func (m *Manager) syncOwn(now time.Time) {
+// syncOwnSession compares this VM's session with its row as listed. A row that a write of unknown outcome has left
+// counts as a renewal; any other change ends the session. m.mu is held.
+func (m *Manager) syncOwnSession(now time.Time) {
 	s, ok := m.sessions[m.cfg.ID]
 	if ok && s.version == m.own.version {
 		return
@@ -254,88 +257,88 @@
 	if !ok && m.own.version == 0 {
 		return
 	}
-	sent, ours := m.own.unresolved[s.attempt]
-	if ok && ours {
+	sent, own := m.own.unresolved[s.attempt]
+	if ok && own {
 		if m.own.created == 0 {
 			m.own.created = s.version
 		}
-		m.renewed(s.version, sent, now)
+		m.applyRenewal(s.version, sent, now)
 		return
 	}
 	// Another VM has ended the session, or an earlier process on this VM has left a row behind.
-	m.dropHeld(eventSuperseded)
+	m.loseHeld(eventSuperseded)
 	m.own.created = 0
 	m.own.version = s.version
 	m.own.unresolved = map[string]time.Time{}
 }
 
-// renewed takes in a write of this VM's session that was sent at sent. A right that had lapsed
+// applyRenewal applies a write of this VM's session that was sent at sent. A right that had lapsed
 // before stays lost. m.mu is held.
-func (m *Manager) renewed(version uint64, sent, now time.Time) {
-	if clock.Elapsed(m.own.base, now) >= m.cfg.Duration {
-		m.dropHeld(eventLapsed)
+func (m *Manager) applyRenewal(version uint64, sent, now time.Time) {
+	if clock.Elapsed(m.own.validFrom, now) >= m.cfg.Duration {
+		m.loseHeld(eventLapsed)
 	}
 	m.own.version = version
 	m.own.unresolved = map[string]time.Time{}
-	if sent.After(m.own.base) {
-		m.own.base = sent
+	if sent.After(m.own.validFrom) {
+		m.own.validFrom = sent
 	}
 }
 
-// dropHeld ends every right that rests on the session. m.mu is held.
-func (m *Manager) dropHeld(event chart.Event) {
+// loseHeld ends every right that depends on the session. m.mu is held.
+func (m *Manager) loseHeld(event chart.Event) {
 	for name, r := range m.rights {
-		if r.life.State() == stateHeld {
+		if r.lifecycle.State() == stateHeld {
 			m.lose(name, event, nil)
 		}
 	}
 }
 
-// reconcile ends the rights that the rows listed speak against, and makes those provisional rights
-// regular that the rows name. m.mu is held.
+// reconcile compares the rights with the rows listed: it ends rights that the rows contradict, and turns
+// provisional rights that the rows confirm into held ones. m.mu is held.
 func (m *Manager) reconcile(now time.Time) {
 	for name, r := range m.rights {
 		l := m.leases[name]
-		same := m.mine(l) && l.Fencing == r.grant.Fencing
-		switch r.life.State() {
+		sameGrant := m.mine(l) && l.Fencing == r.grant.Fencing
+		switch r.lifecycle.State() {
 		case stateHeld:
-			if !same {
+			if !sameGrant {
 				m.lose(name, eventSuperseded, nil)
 			}
 		case stateProvisional:
-			if same && m.valid(r, now) {
+			if sameGrant && m.valid(r, now) {
 				m.fire(name, r, eventGranted)
-			} else if l.version != r.taken {
+			} else if l.version != r.replacedVersion {
 				m.lose(name, eventSuperseded, nil)
 			}
 		}
 	}
 }
 
-// commit carries out a plan. It reports whether the table answered.
+// commit writes a plan to the table and applies the outcome. It reports whether the table responded.
 func (m *Manager) commit(ctx context.Context, p *plan) bool {
 	txn := p.txn(uuid.NewString())
 	sent := clock.Now()
 	version, err := m.write(ctx, txn)
 	switch {
 	case err == nil:
-		m.applied(p, version, sent)
+		m.applyWritten(p, version, sent)
 		if len(p.claims) > 0 {
 			m.fleet.Announce()
 		}
-		m.wakeSuccessors(ctx, p)
+		m.wakeIntendedHolders(ctx, p)
 		return true
 	case errors.Is(err, platform.ErrConflict):
-		m.refused(p)
-		// The session must not lapse because a claim met another's: it is renewed on its own.
-		return m.renewAlone(ctx, p)
+		m.applyRefused(p)
+		// The session must not lapse because a claim conflicted with another VM's: it is renewed without the claims.
+		return m.renewSessionOnly(ctx, p)
 	case errors.Is(err, platform.ErrUnavailable):
-		m.refused(p)
+		m.applyRefused(p)
 	default:
 		m.mu.Lock()
 		m.own.unresolved[txn.Attempt] = sent
 		m.mu.Unlock()
-		m.refused(p)
+		m.applyRefused(p)
 	}
 	m.markDown("commit")
 	return false
@@ -347,16 +350,16 @@
 	return m.table.Commit(ctx, txn)
 }
 
-// renewAlone writes the session of a plan without its other writes.
-func (m *Manager) renewAlone(ctx context.Context, p *plan) bool {
-	if p.alone() {
+// renewSessionOnly writes the session of a plan without its other writes.
+func (m *Manager) renewSessionOnly(ctx context.Context, p *plan) bool {
+	if p.sessionOnly() {
 		return true
 	}
 	return m.commit(ctx, &plan{session: p.session, sessionVersion: p.sessionVersion})
 }
 
-// applied takes in a plan whose write is known to have taken effect.
-func (m *Manager) applied(p *plan, version uint64, sent time.Time) {
+// applyWritten updates the state after a plan whose write is known to have taken effect.
+func (m *Manager) applyWritten(p *plan, version uint64, sent time.Time) {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -364,7 +367,7 @@
 		m.own.created = version
 	}
 	m.own.counter = p.session.Counter
-	m.renewed(version, sent, now)
+	m.applyRenewal(version, sent, now)
 	m.closed = p.session.Closed
 	for vm, ended := range p.ends {
 		ended.Ended = true
@@ -372,28 +375,29 @@
 		m.sessions[vm] = ended
 	}
 	for _, c := range p.claims {
-		m.store(c, version, now)
-		delete(m.openSince, c.name)
+		m.storeWritten(c, version, now)
+		delete(m.claimableSince, c.name)
 		m.gain(c.name, m.right(c.name), eventGranted, c.grant())
 	}
 	for _, c := range p.confirms {
-		m.store(c, version, now)
+		m.storeWritten(c, version, now)
 		m.fire(c.name, m.right(c.name), eventGranted)
 	}
 	for _, c := range p.releases {
-		m.store(c, version, now)
-		m.endRelease(c.name)
+		m.storeWritten(c, version, now)
+		m.clearRelease(c.name)
 	}
 }
 
-// store records a lease row that this VM has written. m.mu is held.
-func (m *Manager) store(c change, version uint64, now time.Time) {
-	m.leases[c.name] = lease{leaseRow: c.row, seenAt: seenAt{since: now, shown: now, before: now}, version: version}
+// storeWritten records a lease row that this VM has written. m.mu is held.
+func (m *Manager) storeWritten(c rowChange, version uint64, now time.Time) {
+	m.leases[c.name] = lease{leaseRow: c.row, rowTimes: rowTimes{firstSeen: now, lastSeen: now, previousLastSeen: now}, version: version}
 }
 
-// refused takes in a plan whose claims must not be acted on: they met another's write, were not
-// written, or may have been written. In the last case the row names this VM, which claims it anew.
-func (m *Manager) refused(p *plan) {
+// applyRefused updates the state after a plan whose claims must not be acted on: they conflicted with another
+// VM's write, were not written, or may have been written. In the last case the row may name this VM, which then
+// claims the lease again.
+func (m *Manager) applyRefused(p *plan) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, c := range p.claims {
