--- a/pkg/relay/message.go
+++ b/pkg/relay/message.go
@@ -7,33 +7,33 @@
 
 const pullMethod = ServiceName + ".Pull"
 
-// VM is what a VM tells of itself.
+// VM is a VM's description of itself.
 type VM struct {
 	ID            string  `json:"id"`
 	Incarnation   string  `json:"incarnation"`
 	Address       string  `json:"address"`
 	FailureDomain string  `json:"failure_domain"`
 	Cores         float64 `json:"cores"`
-	// Silent says that the VM has not asked for a while.
+	// Silent says that the VM is unresponsive: it has not polled for a while.
 	Silent bool `json:"silent,omitempty"`
 }
 
-// PullArgs asks for news.
+// PullArgs requests the updates since a revision.
 type PullArgs struct {
 	From VM
-	// Board and After name what the caller knows: the board's id, and the revision.
+	// Board and After say what the requesting VM has received already: the id of the update log, and the revision.
 	Board string
 	After uint64
 }
 
-// PullReply is the news.
+// PullReply carries the updates since the requested revision.
 type PullReply struct {
 	Board    string
 	Revision uint64
-	// Full says that Entries are all there are.
+	// Full says that Entries are all entries of the update log, not only the changed ones.
 	Full    bool
 	Entries []Entry
-	// OperatorAge and EndpointsAge are how old the answers of the store are that the operator's rows
-	// and the list of endpoints rest on.
+	// OperatorAge and EndpointsAge are the ages of the store responses from which the operator's rows and the
+	// list of endpoints come.
 	OperatorAge, EndpointsAge time.Duration
 }
--- a/pkg/relay/node.go
+++ b/pkg/relay/node.go
@@ -15,75 +15,79 @@
 )
 
 const (
-	// pullWait is how long a call waits for news that the caller does not have yet. The first call does not.
+	// pullWait is how long a pull waits at the source for updates that the requesting VM does not have yet. The
+	// first pull does not wait.
 	pullWait = 700 * time.Millisecond
-	// pullTimeout bounds a call on top of that; VMs are about a millisecond apart.
+	// pullTimeout bounds a pull in addition to its wait. VMs are about 1 ms apart.
 	pullTimeout = 300 * time.Millisecond
-	// maxOperatorAge and maxEndpointsAge are the ages from which news count as old: somewhat more than
-	// the time between two answers of a sound store to a VM that reads it.
+	// maxOperatorAge and maxEndpointsAge are the ages above which updates count as too old: somewhat more than
+	// the time between two responses of a healthy store to a VM that reads it.
 	maxOperatorAge  = 1300 * time.Millisecond
 	maxEndpointsAge = 2 * time.Second
-	// mistrust is how long a VM that has not answered, or has only old news, is not asked. It doubles
-	// with each further time, up to maxMistrust.
-	mistrust    = 1500 * time.Millisecond
-	maxMistrust = 12 * time.Second
-	// readFor is how long a VM goes on reading the store after it was last asked.
-	readFor = 3 * time.Second
-	// firstRead bounds how long a call waits for a VM that has just begun to read.
-	firstRead = 250 * time.Millisecond
-	// directPause is the time after which a VM that reads the store for itself looks for another one
-	// to ask.
-	directPause = time.Second
-	// silentAfter is the time after which a VM that does not ask counts as silent.
-	silentAfter = 2500 * time.Millisecond
-	// looks is how often a VM that starts looks who the stewards are before it reads the store for itself, and
-	// lookPause, with lookSpread at random on top, the time between two looks: when all VMs start, there are stewards
-	// by then.
-	looks      = 2
-	lookPause  = 600 * time.Millisecond
-	lookSpread = 200 * time.Millisecond
-	// startPatience is how long a VM that starts waits for the first look and the news of a steward that it names.
-	startPatience = 50 * time.Millisecond
-	// lookTimeout bounds a look. The store answers within milliseconds.
-	lookTimeout = 300 * time.Millisecond
-	// turnStep is, for each VM, the time over which VMs whose source fails turn to others; together at most
-	// maxTurnSpread.
-	turnStep      = 1500 * time.Microsecond
-	maxTurnSpread = 300 * time.Millisecond
-	// pollStep is the time between two looks at whether a reading has begun.
-	pollStep = 5 * time.Millisecond
+	// sourceBackoff is how long a VM is not polled after it did not respond or had only old updates. The time
+	// doubles with each further failure, up to maxSourceBackoff.
+	sourceBackoff    = 1500 * time.Millisecond
+	maxSourceBackoff = 12 * time.Second
+	// readLinger is how long a VM continues to read the store after another VM last polled it.
+	readLinger = 3 * time.Second
+	// firstReadTimeout bounds how long a pull waits for a source that has just begun to read the store.
+	firstReadTimeout = 250 * time.Millisecond
+	// sourceRetryInterval is the time after which a VM that reads the store for itself tries again to find a VM
+	// to poll.
+	sourceRetryInterval = time.Second
+	// unresponsiveAfter is the time after which a VM that does not poll counts as unresponsive.
+	unresponsiveAfter = 2500 * time.Millisecond
+	// startupLookups is how many times a VM that starts looks up the stewards before it reads the store for itself.
+	// startupLookupInterval, plus a random part of up to startupLookupJitter, is the time between two lookups: when
+	// all VMs start together, there are stewards by then.
+	startupLookups        = 2
+	startupLookupInterval = 600 * time.Millisecond
+	startupLookupJitter   = 200 * time.Millisecond
+	// startupTimeout is how long a VM that starts waits for the first lookup and for the updates of a steward
+	// that the lookup returned, before it also begins to read the store.
+	startupTimeout = 50 * time.Millisecond
+	// lookupTimeout bounds a lookup of the stewards. The store responds within milliseconds.
+	lookupTimeout = 300 * time.Millisecond
+	// switchDelayPerVM, times the number of VMs but at most maxSwitchDelay, is the period over which VMs whose
+	// source fails spread their switch to another source.
+	switchDelayPerVM = 1500 * time.Microsecond
+	maxSwitchDelay   = 300 * time.Millisecond
+	// firstReadPollInterval is the time between two checks whether the store has been read for the first time.
+	firstReadPollInterval = 5 * time.Millisecond
 )
 
-// Reader reads the store and publishes what it reads on the board.
+// Reader reads the store and publishes what it reads in the update log.
 type Reader interface {
 	// Run reads until ctx ends.
 	Run(ctx context.Context)
-	// Ages returns how old the last answers of the store are.
+	// Ages returns the ages of the last responses of the store with the operator's rows and with the endpoints.
 	Ages() (operator, endpoints time.Duration)
 }
 
-// Config holds what a node works with.
+// Config holds the dependencies and callbacks of a node.
 type Config struct {
 	Self  VM
 	Board *Board
-	// Reader is this VM's own.
+	// Reader reads the store for this VM and for those that poll it.
 	Reader Reader
 	Caller peer.Caller
-	// Stewards returns the VMs to ask, the best first, as far as this VM knows. It may be among them.
+	// Stewards returns the stewards that this VM knows, in the order in which to poll them. This VM may be among
+	// them.
 	Stewards func() []VM
-	// Fleet returns the number of VMs that are known.
+	// Fleet returns the number of VMs that this VM knows.
 	Fleet func() int
-	// Look reads once from the store who the stewards are.
+	// Look reads the list of stewards from the store once.
 	Look func(ctx context.Context) error
-	// Present is called when another VM asks for the first time, has changed, or has fallen silent.
+	// Present is called with the description of a VM that polls this one for the first time, has changed, or has
+	// become unresponsive, and of this VM when it begins to read the store.
 	Present func(VM)
-	// Apply takes in news of other VMs. full says that they are all there are. operator and endpoints
-	// are the moments up to which the rows are known to be current.
+	// Apply applies updates received from another VM. full says that they are all entries there are. operator and
+	// endpoints are the times up to which the operator's rows and the list of endpoints are known to be current.
 	Apply func(entries []Entry, full bool, operator, endpoints time.Time)
 	Log   logrus.FieldLogger
 }
 
-// Node is a VM's part in the relay.
+// Node is the participation of one VM in the relay: it polls a source for updates, and serves other VMs.
 type Node struct {
 	cfg Config
 	ctx context.Context
@@ -91,95 +95,96 @@
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 
-	// board and after are what was pulled last.
-	board string
-	after uint64
-	// source is the VM that was asked last, empty while this VM reads for itself.
+	// pulledLog and pulledRevision are the id of the update log that was last pulled, and the revision reached.
+	pulledLog      string
+	pulledRevision uint64
+	// source is the VM that was polled last, empty while this VM reads the store for itself.
 	source   string
-	mistrust map[string]doubt
-	// servedAt is when another VM last had fresh news for this one.
+	backoffs map[string]backoff
+	// servedAt is when this VM last received fresh updates from another VM.
 	servedAt time.Time
-	// wanted is until when this VM reads the store; stop ends the reading.
-	wanted time.Time
-	stop   context.CancelFunc
-	// asked maps the VMs that ask this one to when they last did.
-	asked map[string]time.Time
-	vms   map[string]VM
+	// readUntil is the time until which this VM reads the store. stopReading ends the reading; nil while this VM
+	// does not read.
+	readUntil   time.Time
+	stopReading context.CancelFunc
+	// lastPull is when each VM that polls this one last did so; pullers are the descriptions of these VMs.
+	lastPull map[string]time.Time
+	pullers  map[string]VM
 }
 
-// doubt is how long a VM is not asked.
-type doubt struct {
+// backoff says until when a VM is not polled, and how long the last backoff was.
+type backoff struct {
 	until time.Time
 	last  time.Duration
 }
 
-// New returns a node. ctx ends its work.
+// New returns a node. Once ctx ends, the node no longer reads the store and its calls no longer wait.
 func New(ctx context.Context, cfg Config) *Node {
 	return &Node{
 		cfg: cfg, ctx: ctx,
-		mistrust: map[string]doubt{}, asked: map[string]time.Time{}, vms: map[string]VM{},
+		backoffs: map[string]backoff{}, lastPull: map[string]time.Time{}, pullers: map[string]VM{},
 	}
 }
 
-// Run keeps this VM's news up to date until ctx ends.
+// Run keeps this VM's data up to date until ctx ends.
 func (n *Node) Run(ctx context.Context) {
 	go n.watch(ctx)
 	n.start(ctx)
 	for ctx.Err() == nil {
-		source, ok := n.choose(time.Now())
+		source, ok := n.chooseSource(time.Now())
 		if !ok {
 			n.setSource("")
-			n.read(directPause + readFor)
-			clock.Sleep(ctx, directPause)
+			n.readFor(sourceRetryInterval + readLinger)
+			clock.Sleep(ctx, sourceRetryInterval)
 			continue
 		}
 		n.setSource(source.ID)
 		if !n.pull(ctx, source) && ctx.Err() == nil {
-			n.doubt(source.ID, time.Now())
-			n.awaitTurn(ctx)
+			n.backOff(source.ID, time.Now())
+			n.delaySwitch(ctx)
 		}
 	}
 }
 
-// start looks for a steward that has news, so that VMs that start do not all read the store. A VM that finds none, or
-// one that does not answer, reads for itself.
+// start looks for a steward that has updates, so that VMs that start do not all read the store. A VM that finds no
+// steward, or one that does not respond, reads the store for itself.
 func (n *Node) start(ctx context.Context) {
-	// What lasts longer than usual is not waited for: the store may be slow, and a steward that was known at once may have
-	// started together with this VM.
-	hurry := time.AfterFunc(startPatience, func() { n.read(directPause + readFor) })
-	defer hurry.Stop()
-	for i := range looks {
-		if i > 0 && !clock.Sleep(ctx, lookPause+rand.N(lookSpread)) {
+	// A lookup or pull that takes longer than usual must not delay this VM: the store may be slow, and a steward that the
+	// first lookup returns may have started together with this VM.
+	fallback := time.AfterFunc(startupTimeout, func() { n.readFor(sourceRetryInterval + readLinger) })
+	defer fallback.Stop()
+	for i := range startupLookups {
+		if i > 0 && !clock.Sleep(ctx, startupLookupInterval+rand.N(startupLookupJitter)) {
 			return
 		}
 		if len(n.cfg.Stewards()) == 0 {
-			if err := n.look(ctx); err != nil {
-				n.cfg.Log.WithError(err).WithField("event", "stewards_not_read").Warn()
+			if err := n.lookUpStewards(ctx); err != nil {
+				n.cfg.Log.WithError(err).WithField("event", "stewards_not_read").Warn("could not read the list of stewards from the store")
 				return
 			}
 		}
-		if source, ok := n.choose(time.Now()); ok {
+		if source, ok := n.chooseSource(time.Now()); ok {
 			n.pullAtStart(ctx, source)
 			return
 		}
 		if n.isSteward() {
 			return
 		}
-		hurry.Stop()
+		fallback.Stop()
 	}
 }
 
-// pullAtStart asks a steward for the first news.
+// pullAtStart pulls the first updates from a steward. If that fails, this VM reads the store.
 func (n *Node) pullAtStart(ctx context.Context, source VM) {
 	n.setSource(source.ID)
 	if !n.pull(ctx, source) {
-		n.doubt(source.ID, time.Now())
-		n.read(directPause + readFor)
+		n.backOff(source.ID, time.Now())
+		n.readFor(sourceRetryInterval + readLinger)
 	}
 }
 
-func (n *Node) look(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+func (n *Node) lookUpStewards(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	return n.cfg.Look(ctx)
 }
@@ -188,8 +193,8 @@
 	return slices.ContainsFunc(n.cfg.Stewards(), func(vm VM) bool { return vm.ID == n.cfg.Self.ID })
 }
 
-// choose returns the VM to ask; false if this VM is to read for itself.
-func (n *Node) choose(now time.Time) (VM, bool) {
+// chooseSource returns the VM to poll; false if this VM is to read the store for itself.
+func (n *Node) chooseSource(now time.Time) (VM, bool) {
 	list := n.cfg.Stewards()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -197,16 +202,17 @@
 		if vm.ID == n.cfg.Self.ID {
 			return VM{}, false
 		}
-		if !now.Before(n.mistrust[vm.ID].until) {
+		if !now.Before(n.backoffs[vm.ID].until) {
 			return vm, true
 		}
 	}
 	return VM{}, false
 }
 
-// awaitTurn waits a little: all VMs have lost the same source, and ask the next one for all that it knows.
-func (n *Node) awaitTurn(ctx context.Context) {
-	spread := min(turnStep*time.Duration(n.cfg.Fleet()), maxTurnSpread)
+// delaySwitch waits for a random time: all VMs have lost the same source, and each requests all entries of the next
+// one.
+func (n *Node) delaySwitch(ctx context.Context) {
+	spread := min(switchDelayPerVM*time.Duration(n.cfg.Fleet()), maxSwitchDelay)
 	clock.Sleep(ctx, rand.N(spread+1))
 }
 
@@ -216,114 +222,117 @@
 	n.source = id
 	n.mu.Unlock()
 	if old != id {
-		n.cfg.Log.WithFields(logrus.Fields{"event": "news_source", "from": old, "to": id}).Info()
+		n.cfg.Log.WithFields(logrus.Fields{"event": "news_source", "from": old, "to": id}).Info("source of updates changed")
 	}
 }
 
-func (n *Node) doubt(id string, now time.Time) {
+// backOff excludes a VM that failed as a source for some time.
+func (n *Node) backOff(id string, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	d := min(max(2*n.mistrust[id].last, mistrust), maxMistrust)
-	n.mistrust[id] = doubt{until: now.Add(d), last: d}
+	d := min(max(2*n.backoffs[id].last, sourceBackoff), maxSourceBackoff)
+	n.backoffs[id] = backoff{until: now.Add(d), last: d}
 }
 
-// pull asks a VM once. It reports false if the VM does not answer, or has only old news.
+// pull requests updates from a VM once and applies them. It reports false if the VM does not respond or has only
+// old updates.
 func (n *Node) pull(ctx context.Context, source VM) bool {
 	n.mu.Lock()
-	args := PullArgs{From: n.cfg.Self, Board: n.board, After: n.after}
+	args := PullArgs{From: n.cfg.Self, Board: n.pulledLog, After: n.pulledRevision}
 	n.mu.Unlock()
 	wait := pullWait
 	if args.Board == "" {
-		wait = firstRead
+		wait = firstReadTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+pullTimeout)
 	defer cancel()
 	sent := clock.Now()
 	var reply PullReply
 	if err := n.cfg.Caller.Call(ctx, source.Address, pullMethod, &args, &reply); err != nil {
-		n.cfg.Log.WithError(err).WithFields(logrus.Fields{"event": "news_lost", "source": source.ID}).Debug()
+		n.cfg.Log.WithError(err).WithFields(logrus.Fields{"event": "news_lost", "source": source.ID}).Debug("could not pull updates from the source")
 		return false
 	}
 	if clock.Elapsed(sent, time.Now()) > pullWait+2*pullTimeout {
-		// This VM has stood still: the ages no longer say anything.
+		// This process was paused during the call, so that the ages in the response are no longer valid.
 		return false
 	}
 	n.mu.Lock()
-	n.board, n.after = reply.Board, reply.Revision
+	n.pulledLog, n.pulledRevision = reply.Board, reply.Revision
 	n.mu.Unlock()
 	n.cfg.Apply(reply.Entries, reply.Full, sent.Add(-reply.OperatorAge), sent.Add(-reply.EndpointsAge))
 	if reply.OperatorAge > maxOperatorAge || reply.EndpointsAge > maxEndpointsAge {
 		return false
 	}
-	n.served(source.ID, time.Now())
+	n.recordServed(source.ID, time.Now())
 	return true
 }
 
-// served notes that a VM has answered with fresh news: this one need not read for itself.
-func (n *Node) served(id string, now time.Time) {
+// recordServed records that a VM has responded with fresh updates. This VM then stops reading the store, unless
+// other VMs still poll it.
+func (n *Node) recordServed(id string, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.mistrust, id)
+	delete(n.backoffs, id)
 	n.servedAt = now
-	for _, at := range n.asked {
-		if now.Sub(at) < readFor {
+	for _, at := range n.lastPull {
+		if now.Sub(at) < readLinger {
 			return
 		}
 	}
-	if n.wanted.After(now) {
-		n.wanted = now
+	if n.readUntil.After(now) {
+		n.readUntil = now
 	}
 }
 
-// read makes this VM read the store for that time at least.
-func (n *Node) read(d time.Duration) {
+// readFor makes this VM read the store for at least the given time from now on.
+func (n *Node) readFor(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if until := time.Now().Add(d); until.After(n.wanted) {
-		n.wanted = until
+	if until := time.Now().Add(d); until.After(n.readUntil) {
+		n.readUntil = until
 	}
-	if n.stop == nil && n.ctx.Err() == nil {
-		defer n.publish(n.cfg.Self)
+	if n.stopReading == nil && n.ctx.Err() == nil {
+		defer n.publishVM(n.cfg.Self)
 		ctx, cancel := context.WithCancel(n.ctx)
-		n.stop = cancel
+		n.stopReading = cancel
 		go n.cfg.Reader.Run(ctx)
-		n.cfg.Log.WithField("event", "reading_store").Info()
+		n.cfg.Log.WithField("event", "reading_store").Info("started to read the store")
 	}
 }
 
-// watchStep is the time between two looks at whether the reading is still wanted.
-const watchStep = 250 * time.Millisecond
+// watchInterval is the time between two checks whether this VM must still read the store, and for unresponsive VMs.
+const watchInterval = 250 * time.Millisecond
 
-// watch ends the reading when nobody wants it, and notes the VMs that have fallen silent.
+// watch ends the reading of the store when it is no longer needed, and marks VMs that have become unresponsive.
 func (n *Node) watch(ctx context.Context) {
-	clock.Every(ctx, watchStep, func(now time.Time) {
+	clock.Every(ctx, watchInterval, func(now time.Time) {
 		n.endReading(now)
-		n.markSilent(now)
+		n.markUnresponsive(now)
 	})
 }
 
 func (n *Node) endReading(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.stop != nil && now.After(n.wanted) {
-		n.stop()
-		n.stop = nil
-		n.cfg.Log.WithField("event", "reading_ended").Info()
+	if n.stopReading != nil && now.After(n.readUntil) {
+		n.stopReading()
+		n.stopReading = nil
+		n.cfg.Log.WithField("event", "reading_ended").Info("stopped reading the store")
 	}
 }
 
-// State is where a VM has its news from.
+// State describes where a VM receives its updates from.
 type State struct {
-	// Source is the VM that it asks, empty while it reads the store for itself.
+	// Source is the VM that this VM polls, empty while this VM reads the store for itself.
 	Source string `json:"source"`
-	// Reading says that it reads the store, Askers are the VMs that ask it.
+	// Reading says that this VM reads the store, Askers are the VMs that poll it.
 	Reading bool     `json:"reading"`
 	Askers  []string `json:"askers"`
 }
 
-// State returns where this VM has its news from.
+// State returns where this VM receives its updates from.
 func (n *Node) State() State {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return State{Source: n.source, Reading: n.stop != nil, Askers: slices.Sorted(maps.Keys(n.asked))}
+	return State{Source: n.source, Reading: n.stopReading != nil, Askers: slices.Sorted(maps.Keys(n.lastPull))}
 }
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -16,78 +16,78 @@
 	"github.com/mallowlink/mallowlink/pkg/peer"
 )
 
-// world is a fleet of nodes and one store, in virtual time.
-type world struct {
-	mu    sync.Mutex
-	value string
-	nodes map[string]*member
-	down  map[string]bool
-	// cut are the VMs that the store does not answer.
-	cut map[string]bool
+// testbed is a fleet of nodes and one store, in virtual time.
+type testbed struct {
+	mu     sync.Mutex
+	config string
+	vms    map[string]*testVM
+	// down are the VMs that cannot reach other VMs, nor be reached; cut are those to which the store does not respond.
+	down map[string]bool
+	cut  map[string]bool
 	// stewards returns the VMs that are stewards.
 	stewards func() []VM
 }
 
-// member is one VM of the world.
-type member struct {
-	w     *world
-	vm    VM
-	node  *Node
-	board *Board
+// testVM is one VM of the testbed.
+type testVM struct {
+	bed     *testbed
+	vm      VM
+	node    *Node
+	updates *Board
 
-	mu        sync.Mutex
-	got       string
-	operator  time.Time
-	confirmed time.Time
-	reads     int
-	present   map[string]bool
-	// looks counts the looks at who the stewards are, known are those that it knows of.
-	looks int
-	known []VM
+	mu         sync.Mutex
+	config     string
+	operator   time.Time
+	confirmed  time.Time
+	reads      int
+	responsive map[string]bool
+	// lookups counts the lookups of the stewards, known are the stewards that this VM knows.
+	lookups int
+	known   []VM
 }
 
-func (w *world) isCut(id string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.cut[id]
+func (bed *testbed) isCut(id string) bool {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	return bed.cut[id]
 }
 
-func (w *world) read() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.value
+func (bed *testbed) currentConfig() string {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	return bed.config
 }
 
-// listed returns the VMs that are stewards.
-func (w *world) listed() []VM {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.stewards()
+// currentStewards returns the VMs that are stewards now.
+func (bed *testbed) currentStewards() []VM {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	return bed.stewards()
 }
 
-func (w *world) set(change func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (bed *testbed) update(change func()) {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
 	change()
 }
 
 // Run implements Reader: it reads the store every 100 ms.
-func (m *member) Run(ctx context.Context) {
+func (m *testVM) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !m.w.isCut(m.vm.ID) {
-			value := m.w.read()
+		if !m.bed.isCut(m.vm.ID) {
+			value := m.bed.currentConfig()
 			m.mu.Lock()
 			m.reads++
-			m.got, m.confirmed, m.known = value, time.Now(), m.w.listed()
+			m.config, m.confirmed, m.known = value, time.Now(), m.bed.currentStewards()
 			m.mu.Unlock()
-			m.board.Put(Operator, "config", []byte(value))
+			m.updates.Put(Operator, "config", []byte(value))
 		}
 		clock.Sleep(ctx, 100*time.Millisecond)
 	}
 }
 
 // Ages implements Reader.
-func (m *member) Ages() (time.Duration, time.Duration) {
+func (m *testVM) Ages() (time.Duration, time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	age := time.Since(m.confirmed)
@@ -95,10 +95,10 @@
 }
 
 // Call implements peer.Caller.
-func (m *member) Call(ctx context.Context, address, _ string, args, reply any) error {
-	m.w.mu.Lock()
-	target, down := m.w.nodes[address], m.w.down[address] || m.w.down[m.vm.ID]
-	m.w.mu.Unlock()
+func (m *testVM) Call(ctx context.Context, address, _ string, args, reply any) error {
+	m.bed.mu.Lock()
+	target, down := m.bed.vms[address], m.bed.down[address] || m.bed.down[m.vm.ID]
+	m.bed.mu.Unlock()
 	if down || target == nil {
 		<-ctx.Done()
 		return peer.ErrUnreachable
@@ -106,265 +106,267 @@
 	return target.node.Service().Pull(args.(*PullArgs), reply.(*PullReply))
 }
 
-func (m *member) apply(entries []Entry, _ bool, operator, _ time.Time) {
+func (m *testVM) apply(entries []Entry, _ bool, operator, _ time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, e := range entries {
 		if e.Topic == Operator {
-			m.got = string(e.Value)
+			m.config = string(e.Value)
 		}
 	}
-	m.known = m.w.listed()
+	m.known = m.bed.currentStewards()
 	m.operator = operator
 }
 
-// look reads who the stewards are.
-func (m *member) look(ctx context.Context) error {
-	if m.w.isCut(m.vm.ID) {
+// lookUpStewards looks up the stewards.
+func (m *testVM) lookUpStewards(ctx context.Context) error {
+	if m.bed.isCut(m.vm.ID) {
 		<-ctx.Done()
-		return errors.New("the store does not answer")
+		return errors.New("store does not respond")
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.looks++
-	m.known = m.w.listed()
+	m.lookups++
+	m.known = m.bed.currentStewards()
 	return nil
 }
 
-func (m *member) value() string {
+func (m *testVM) currentConfig() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.got
+	return m.config
 }
 
-func (m *member) isPresent(id string) bool {
+func (m *testVM) isResponsive(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.present[id]
+	return m.responsive[id]
 }
 
-func (m *member) lookCount() int {
+func (m *testVM) lookupCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.looks
+	return m.lookups
 }
 
-func (m *member) readCount() int {
+func (m *testVM) readCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.reads
 }
 
-// fleet runs n nodes, of which the first two are stewards.
-func fleet(t *testing.T, n int, do func(w *world, members []*member)) {
+// runFleet runs n nodes, of which the first two are stewards.
+func runFleet(t *testing.T, n int, do func(bed *testbed, vms []*testVM)) {
 	t.Helper()
-	startFleet(t, n, 0, func(*world) {}, do)
+	runFleetWith(t, n, 0, func(*testbed) {}, do)
 }
 
-// startFleet runs n nodes after setup. The first two are stewards from a moment on, which the others learn when they
-// look.
-func startFleet(t *testing.T, n int, after time.Duration, setup func(w *world), do func(w *world, members []*member)) {
+// runFleetWith runs n nodes after setup. The first two become stewards once the time after has passed. The others find out
+// by a lookup.
+func runFleetWith(t *testing.T, n int, after time.Duration, setup func(bed *testbed), do func(bed *testbed, vms []*testVM)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{value: "v1", nodes: map[string]*member{}, down: map[string]bool{}, cut: map[string]bool{}}
+		bed := &testbed{config: "v1", vms: map[string]*testVM{}, down: map[string]bool{}, cut: map[string]bool{}}
 		log := logrus.New()
 		log.SetLevel(logrus.PanicLevel)
 		ctx, cancel := context.WithCancel(t.Context())
-		var members []*member
+		var vms []*testVM
 		var stewards []VM
-		begun := time.Now()
-		w.stewards = func() []VM {
-			if time.Since(begun) < after {
+		started := time.Now()
+		bed.stewards = func() []VM {
+			if time.Since(started) < after {
 				return nil
 			}
 			return stewards
 		}
 		for i := range n {
 			id := fmt.Sprintf("vm%d", i)
-			m := &member{w: w, vm: VM{ID: id, Address: id}, board: NewBoard(id), present: map[string]bool{}}
-			members = append(members, m)
-			w.nodes[id] = m
+			m := &testVM{bed: bed, vm: VM{ID: id, Address: id}, updates: NewBoard(id), responsive: map[string]bool{}}
+			vms = append(vms, m)
+			bed.vms[id] = m
 			if i < 2 {
 				stewards = append(stewards, m.vm)
 			}
 		}
-		setup(w)
+		setup(bed)
 		var loops sync.WaitGroup
-		for _, m := range members {
+		for _, m := range vms {
 			m.node = New(ctx, Config{
-				Self: m.vm, Board: m.board, Reader: m, Caller: m, Log: log, Apply: m.apply,
+				Self: m.vm, Board: m.updates, Reader: m, Caller: m, Log: log, Apply: m.apply,
 				Stewards: func() []VM {
 					m.mu.Lock()
 					defer m.mu.Unlock()
 					return m.known
 				},
 				Fleet: func() int { return n },
-				Look:  m.look,
+				Look:  m.lookUpStewards,
 				Present: func(vm VM) {
 					m.mu.Lock()
 					defer m.mu.Unlock()
-					m.present[vm.ID] = !vm.Silent
+					m.responsive[vm.ID] = !vm.Silent
 				},
 			})
 		}
-		for _, m := range members {
+		for _, m := range vms {
 			loops.Go(func() { m.node.Run(ctx) })
 		}
-		do(w, members)
+		do(bed, vms)
 		cancel()
 		loops.Wait()
 		time.Sleep(time.Minute)
 	})
 }
 
-// One VM reads the store for all: the others have its news within moments, and do not read.
+// One VM reads the store for all: the others receive its updates within 300 ms, and do not read the store.
 func TestOneVMReadsForAll(t *testing.T) {
-	fleet(t, 30, func(w *world, members []*member) {
+	runFleet(t, 30, func(bed *testbed, vms []*testVM) {
 		time.Sleep(10 * time.Second)
 		before := 0
-		for _, m := range members[1:] {
+		for _, m := range vms[1:] {
 			before += m.readCount()
 		}
 		for i := range 20 {
-			w.set(func() { w.value = fmt.Sprintf("v%d", i) })
+			bed.update(func() { bed.config = fmt.Sprintf("v%d", i) })
 			time.Sleep(300 * time.Millisecond)
-			for _, m := range members {
-				require.Equal(t, fmt.Sprintf("v%d", i), m.value(), m.vm.ID)
+			for _, m := range vms {
+				require.Equal(t, fmt.Sprintf("v%d", i), m.currentConfig(), m.vm.ID)
 			}
 		}
 		after := 0
-		for _, m := range members[1:] {
+		for _, m := range vms[1:] {
 			after += m.readCount()
 		}
 		require.Equal(t, before, after)
-		for _, m := range members[1:] {
-			require.True(t, members[0].present[m.vm.ID], m.vm.ID)
+		for _, m := range vms[1:] {
+			require.True(t, vms[0].responsive[m.vm.ID], m.vm.ID)
 		}
 	})
 }
 
-// Many VMs start at once, and some become stewards shortly after: nearly all learn of them by two looks and do not read
-// the store.
-func TestAStartOfManyVMsReadsTheStoreOnlyAtAFew(t *testing.T) {
-	startFleet(t, 60, 400*time.Millisecond, func(*world) {}, func(_ *world, members []*member) {
+// Many VMs start at once, and two become stewards shortly after: nearly all VMs find them with at most two lookups and do
+// not read the store.
+func TestOnlyAFewOfManyStartingVMsReadTheStore(t *testing.T) {
+	runFleetWith(t, 60, 400*time.Millisecond, func(*testbed) {}, func(_ *testbed, vms []*testVM) {
 		time.Sleep(3 * time.Second)
-		reading, looks := 0, 0
-		for _, m := range members {
-			require.Equal(t, "v1", m.value(), m.vm.ID)
-			looks += m.lookCount()
+		reading, lookups := 0, 0
+		for _, m := range vms {
+			require.Equal(t, "v1", m.currentConfig(), m.vm.ID)
+			lookups += m.lookupCount()
 			if m.readCount() > 0 {
 				reading++
 			}
 		}
 		require.LessOrEqual(t, reading, 4)
-		require.LessOrEqual(t, looks, 2*len(members))
+		require.LessOrEqual(t, lookups, 2*len(vms))
 	})
 }
 
-// VMs that start when the stewards do not answer, or the store does not say who they are, read for themselves soon.
+// VMs that start while the stewards do not respond, or the store does not return them, soon read the store for themselves.
 func TestAStartWithoutStewards(t *testing.T) {
-	for name, fail := range map[string]func(w *world){
-		"none answers":               func(w *world) { w.down["vm0"], w.down["vm1"] = true, true },
-		"the store does not say who": func(w *world) { w.cut["vm5"] = true },
+	for name, fail := range map[string]func(bed *testbed){
+		"no steward responds":        func(bed *testbed) { bed.down["vm0"], bed.down["vm1"] = true, true },
+		"the store does not respond": func(bed *testbed) { bed.cut["vm5"] = true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			startFleet(t, 6, 0, fail, func(w *world, members []*member) {
-				time.Sleep(startPatience + time.Millisecond)
-				require.True(t, members[5].node.State().Reading)
-				w.set(func() { clear(w.cut) })
+			runFleetWith(t, 6, 0, fail, func(bed *testbed, vms []*testVM) {
+				time.Sleep(startupTimeout + time.Millisecond)
+				require.True(t, vms[5].node.State().Reading)
+				bed.update(func() { clear(bed.cut) })
 				time.Sleep(time.Second)
-				require.Equal(t, "v1", members[5].value())
+				require.Equal(t, "v1", vms[5].currentConfig())
 			})
 		})
 	}
 }
 
-// A VM falls silent while the steward that all others ask tries in vain to reach a better one: it counts as silent.
+// A VM becomes unresponsive while the steward that all others poll tries in vain to reach a better one. That steward must
+// still mark the VM as unresponsive.
 func TestASilentVMIsNotedByAStewardThatTriesAnother(t *testing.T) {
-	fleet(t, 10, func(w *world, members []*member) {
+	runFleet(t, 10, func(bed *testbed, vms []*testVM) {
 		time.Sleep(5 * time.Second)
-		w.set(func() { w.down["vm0"] = true })
+		bed.update(func() { bed.down["vm0"] = true })
 		time.Sleep(5 * time.Second)
-		require.Equal(t, "vm1", members[5].node.State().Source)
-		w.set(func() { w.down["vm7"] = true })
-		// The better steward is tried again and again meanwhile.
+		require.Equal(t, "vm1", vms[5].node.State().Source)
+		bed.update(func() { bed.down["vm7"] = true })
+		// Meanwhile, the better steward is tried again and again.
 		for range 20 {
-			members[1].node.setSource("vm0")
-			time.Sleep(watchStep)
+			vms[1].node.setSource("vm0")
+			time.Sleep(watchInterval)
 		}
-		require.False(t, members[1].isPresent("vm7"))
+		require.False(t, vms[1].isResponsive("vm7"))
 	})
 }
 
-// VMs that turn to a better steward do not count as silent at the one that they asked before.
-func TestVMsThatTurnToAnotherStewardAreNotSilent(t *testing.T) {
-	fleet(t, 10, func(w *world, members []*member) {
-		better := w.stewards
-		worse := func() []VM { return []VM{members[1].vm} }
-		w.set(func() { w.stewards = worse })
+// VMs that switch to a better steward must not count as unresponsive at the one that they polled before.
+func TestVMsThatSwitchStewardsAreNotUnresponsive(t *testing.T) {
+	runFleet(t, 10, func(bed *testbed, vms []*testVM) {
+		better := bed.stewards
+		worse := func() []VM { return []VM{vms[1].vm} }
+		bed.update(func() { bed.stewards = worse })
 		time.Sleep(5 * time.Second)
-		require.Equal(t, "vm1", members[5].node.State().Source)
-		w.set(func() { w.stewards = better })
-		time.Sleep(2 * silentAfter)
-		require.Equal(t, "vm0", members[5].node.State().Source)
-		require.Equal(t, "vm0", members[1].node.State().Source)
-		for _, m := range members[2:] {
-			require.True(t, members[0].isPresent(m.vm.ID), m.vm.ID)
-			require.True(t, members[1].isPresent(m.vm.ID), m.vm.ID)
+		require.Equal(t, "vm1", vms[5].node.State().Source)
+		bed.update(func() { bed.stewards = better })
+		time.Sleep(2 * unresponsiveAfter)
+		require.Equal(t, "vm0", vms[5].node.State().Source)
+		require.Equal(t, "vm0", vms[1].node.State().Source)
+		for _, m := range vms[2:] {
+			require.True(t, vms[0].isResponsive(m.vm.ID), m.vm.ID)
+			require.True(t, vms[1].isResponsive(m.vm.ID), m.vm.ID)
 		}
 	})
 }
 
-// When the VM that reads is cut from the others, or from the store, the next steward reads.
+// If the VM that reads the store is cut off from the other VMs, or from the store, the next steward takes over.
 func TestTheNextStewardTakesOver(t *testing.T) {
-	for name, fail := range map[string]func(w *world){
-		"cut from the others": func(w *world) { w.down["vm0"] = true },
-		"cut from the store":  func(w *world) { w.cut["vm0"] = true },
+	for name, fail := range map[string]func(bed *testbed){
+		"cut from the others": func(bed *testbed) { bed.down["vm0"] = true },
+		"cut from the store":  func(bed *testbed) { bed.cut["vm0"] = true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			fleet(t, 6, func(w *world, members []*member) {
+			runFleet(t, 6, func(bed *testbed, vms []*testVM) {
 				time.Sleep(10 * time.Second)
-				w.set(func() {
-					fail(w)
-					w.value = "new"
+				bed.update(func() {
+					fail(bed)
+					bed.config = "new"
 				})
 				time.Sleep(2 * time.Second)
-				for _, m := range members[1:] {
-					require.Equal(t, "new", m.value(), m.vm.ID)
+				for _, m := range vms[1:] {
+					require.Equal(t, "new", m.currentConfig(), m.vm.ID)
 				}
 			})
 		})
 	}
 }
 
-// A VM that nobody answers reads for itself, and asks the others again once they answer.
+// A VM that reaches no other VM reads the store for itself, and polls the others again once they respond.
 func TestAVMAloneReadsForItself(t *testing.T) {
-	fleet(t, 4, func(w *world, members []*member) {
+	runFleet(t, 4, func(bed *testbed, vms []*testVM) {
 		time.Sleep(10 * time.Second)
-		w.set(func() {
-			w.down["vm3"] = true
-			w.value = "new"
+		bed.update(func() {
+			bed.down["vm3"] = true
+			bed.config = "new"
 		})
 		time.Sleep(4 * time.Second)
-		require.Equal(t, "new", members[3].value())
-		require.True(t, members[3].node.State().Reading)
-		require.False(t, members[0].present["vm3"], "known to be silent")
-		w.set(func() { w.down["vm3"] = false })
+		require.Equal(t, "new", vms[3].currentConfig())
+		require.True(t, vms[3].node.State().Reading)
+		require.False(t, vms[0].responsive["vm3"], "marked as unresponsive")
+		bed.update(func() { bed.down["vm3"] = false })
 		time.Sleep(10 * time.Second)
-		require.False(t, members[3].node.State().Reading)
-		require.True(t, members[0].present["vm3"])
+		require.False(t, vms[3].node.State().Reading)
+		require.True(t, vms[0].responsive["vm3"])
 	})
 }
 
-// News never claim to be fresher than they are.
-func TestAgesAreHonest(t *testing.T) {
-	fleet(t, 3, func(w *world, members []*member) {
+// Updates must never be reported as more recent than they are: after the store fails, the times up to which the data is
+// known to be current must not advance.
+func TestAgesNeverUnderstateStaleness(t *testing.T) {
+	runFleet(t, 3, func(bed *testbed, vms []*testVM) {
 		time.Sleep(10 * time.Second)
 		cutAt := time.Now()
-		w.set(func() {
-			w.cut["vm0"], w.cut["vm1"], w.cut["vm2"] = true, true, true
+		bed.update(func() {
+			bed.cut["vm0"], bed.cut["vm1"], bed.cut["vm2"] = true, true, true
 		})
 		time.Sleep(10 * time.Second)
-		for _, m := range members {
+		for _, m := range vms {
 			m.mu.Lock()
 			require.False(t, m.operator.After(cutAt), m.vm.ID)
 			require.False(t, m.confirmed.After(cutAt), m.vm.ID)
@@ -373,7 +375,9 @@
 	})
 }
 
-func TestBoardSince(t *testing.T) {
+// Since returns only the entries changed after a known revision, removals included, and all present entries to a VM that
+// names no update log or another one.
+func TestUpdateLogSince(t *testing.T) {
 	b := NewBoard("b")
 	b.Put(Endpoints, "x", []byte("1"))
 	b.Put(Endpoints, "y", []byte("1"))
--- a/pkg/relay/service.go
+++ b/pkg/relay/service.go
@@ -5,92 +5,94 @@
 	"time"
 )
 
-// Service takes other VMs' calls by net/rpc.
+// Service handles calls from other VMs over net/rpc.
 type Service struct{ node *Node }
 
 // Service returns the service to register with net/rpc under ServiceName.
 func (n *Node) Service() *Service { return &Service{node: n} }
 
-// Pull answers with news, once there are some or a while has passed.
+// Pull responds with the updates since the requested revision, as soon as there are any or pullWait has passed.
 func (s *Service) Pull(args *PullArgs, reply *PullReply) error {
 	n := s.node
-	begun := time.Now()
-	n.read(readFor)
-	n.present(args.From, begun)
-	n.awaitFirst(begun)
-	board := n.cfg.Board
-	if args.Board == board.id {
+	started := time.Now()
+	n.readFor(readLinger)
+	n.recordPull(args.From, started)
+	n.awaitFirstRead(started)
+	updates := n.cfg.Board
+	if args.Board == updates.id {
 		timer := time.NewTimer(pullWait)
 		defer timer.Stop()
 		select {
-		case <-board.news(args.After):
+		case <-updates.changedSince(args.After):
 		case <-timer.C:
 		case <-n.ctx.Done():
 		}
 	}
-	reply.Board = board.id
-	reply.Entries, reply.Revision, reply.Full = board.Since(args.Board, args.After)
+	reply.Board = updates.id
+	reply.Entries, reply.Revision, reply.Full = updates.Since(args.Board, args.After)
 	reply.OperatorAge, reply.EndpointsAge = n.cfg.Reader.Ages()
 	return nil
 }
 
-// awaitFirst waits until the reading that has just begun has brought something.
-func (n *Node) awaitFirst(begun time.Time) {
-	for time.Since(begun) < firstRead && n.ctx.Err() == nil {
+// awaitFirstRead waits until the data of the store is recent enough, if this VM has just begun to read the store. It
+// waits for at most firstReadTimeout after started.
+func (n *Node) awaitFirstRead(started time.Time) {
+	for time.Since(started) < firstReadTimeout && n.ctx.Err() == nil {
 		operator, endpoints := n.cfg.Reader.Ages()
 		if operator <= maxOperatorAge && endpoints <= maxEndpointsAge {
 			return
 		}
-		time.Sleep(pollStep)
+		time.Sleep(firstReadPollInterval)
 	}
 }
 
-// present notes that a VM has asked.
-func (n *Node) present(vm VM, now time.Time) {
+// recordPull records that a VM has polled this one.
+func (n *Node) recordPull(vm VM, now time.Time) {
 	n.mu.Lock()
-	n.asked[vm.ID] = now
+	n.lastPull[vm.ID] = now
 	vm.Silent = false
-	changed := n.vms[vm.ID] != vm
-	n.vms[vm.ID] = vm
+	changed := n.pullers[vm.ID] != vm
+	n.pullers[vm.ID] = vm
 	n.mu.Unlock()
 	if changed {
-		n.publish(vm)
+		n.publishVM(vm)
 	}
 }
 
-// markSilent notes the VMs that have not asked for a while. A VM that has fresh news from another one leaves that to it:
-// those that asked here before may have turned to it as well.
-func (n *Node) markSilent(now time.Time) {
-	var silent []VM
+// markUnresponsive marks and publishes the VMs that have not polled for a while. A VM that has recently received fresh
+// updates from another one only removes them from its records and leaves the marking to that one: VMs that polled here
+// before may have switched to it as well.
+func (n *Node) markUnresponsive(now time.Time) {
+	var unresponsive []VM
 	n.mu.Lock()
-	served := now.Sub(n.servedAt) < silentAfter
-	for id, at := range n.asked {
-		if served {
-			if now.Sub(at) > silentAfter {
-				delete(n.asked, id)
-				delete(n.vms, id)
+	servedByOther := now.Sub(n.servedAt) < unresponsiveAfter
+	for id, at := range n.lastPull {
+		if servedByOther {
+			if now.Sub(at) > unresponsiveAfter {
+				delete(n.lastPull, id)
+				delete(n.pullers, id)
 			}
 			continue
 		}
-		vm := n.vms[id]
-		if !vm.Silent && now.Sub(at) > silentAfter {
+		vm := n.pullers[id]
+		if !vm.Silent && now.Sub(at) > unresponsiveAfter {
 			vm.Silent = true
-			n.vms[id] = vm
-			silent = append(silent, vm)
+			n.pullers[id] = vm
+			unresponsive = append(unresponsive, vm)
 		}
 	}
 	n.mu.Unlock()
-	for _, vm := range silent {
-		n.publish(vm)
+	for _, vm := range unresponsive {
+		n.publishVM(vm)
 	}
 }
 
-// publish passes on what is known of a VM.
-func (n *Node) publish(vm VM) {
+// publishVM adds the description of a VM to the update log.
+func (n *Node) publishVM(vm VM) {
 	n.cfg.Present(vm)
 	data, err := json.Marshal(vm)
 	if err != nil {
-		n.cfg.Log.WithError(err).WithField("event", "vm_not_published").Error()
+		n.cfg.Log.WithError(err).WithField("event", "vm_not_published").Error("cannot encode the description of a VM")
 		return
 	}
 	n.cfg.Board.Put(VMs, vm.ID, data)
