--- a/pkg/lease/directory.go
+++ b/pkg/lease/directory.go
@@ -13,7 +13,7 @@
 // Directory lists the VMs that may hold leases and the holder of each lease, according to the rows of the table.
 type Directory struct {
 	Holders map[string]Holder
-	// VMs are those whose sessions are not over, in the order in which other VMs should ask them.
+	// VMs are those whose sessions are not over, in the order in which other VMs should poll them.
 	VMs []SessionVM
 }
 
--- a/pkg/lease/fleet_test.go
+++ b/pkg/lease/fleet_test.go
@@ -46,7 +46,7 @@
 	})
 }
 
-var logged = flag.Bool("logged", false, "print the logs of the VMs if a schedule fails")
+var logged = flag.Bool("logged", false, "print the VMs' logs of a schedule that fails")
 
 // holder waits until the lease has a holder, and requires that it is the only one.
 func (f *fleet) holder(name string, limit time.Duration) *fleettest.VM {
--- a/pkg/lease/handover.go
+++ b/pkg/lease/handover.go
@@ -14,7 +14,7 @@
 
 const wakeMethod = ServiceName + ".Wake"
 
-// WakeRequest asks a VM to list the table at once because leases have been handed over to it. VM is the sender.
+// WakeRequest requests that a VM list the table at once because leases have been handed over to it. VM is the sender.
 type WakeRequest struct {
 	VM string
 }
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// wakeIntendedHolders asks the VMs to which the plan hands leases over to list the table at once.
+// wakeIntendedHolders sends a WakeRequest to the VMs to which the plan hands leases over.
 func (m *Manager) wakeIntendedHolders(ctx context.Context, p *plan) {
 	targets := map[string]membership.Member{}
 	for _, c := range p.releases {
--- a/pkg/relay/update_log.go
+++ b/pkg/relay/update_log.go
@@ -50,8 +50,8 @@
 	removed  bool
 }
 
-// Board is the update log of a VM: it holds the newest entry of each key in all topics, with the revision of its
-// last change. Board is safe for concurrent use.
+// Board is the update log of a VM: the newest entry of each key in all topics, with the revision of its last change.
+// The log is safe for concurrent use.
 type Board struct {
 	id string
 
