--- a/pkg/dispatch/dispatch.go
+++ b/pkg/dispatch/dispatch.go
@@ -1,5 +1,10 @@
-// Package dispatch chooses the endpoint of each request: of plain services the one with the least
-// expected time, of engines the one where the request's adapter and prompt are at home.
+// Package dispatch chooses the endpoint for each request. A request to a plain service goes to the endpoint
+// with the lowest expected latency. A request to an engine goes to one of its homes: the engines to which
+// rendezvous hashing maps its adapter or the start of its prompt.
+//
+// Each engine has an owner, the VM whose lease lets it send orders (load or evict an adapter) to the engine.
+// The dispatcher asks the owner for a permit before it sends a request to an engine. While no owner can be
+// reached, it falls back on engines that are known to hold the adapter.
 package dispatch
 
 import (
@@ -20,7 +25,7 @@
 	"github.com/mallowlink/mallowlink/pkg/roster"
 )
 
-// Config holds what the dispatcher works with.
+// Config holds the dependencies and settings of a Dispatcher.
 type Config struct {
 	// Self identifies this VM, Incarnation its process.
 	Self          string
@@ -30,7 +35,7 @@
 	Orders        *orders.Service
 	Leases        lease.Lessor
 	Caller        peer.Caller
-	// Engines reads the reports of engines whose owners cannot be reached.
+	// Engines fetches status reports directly from engines whose owners cannot be reached.
 	Engines Reporter
 	// RosterAge returns how old the list of endpoints may be.
 	RosterAge func() time.Duration
@@ -40,104 +45,104 @@
 	Log     logrus.FieldLogger
 }
 
-// Dispatcher implements gateway.Dispatcher.
+// Dispatcher implements gateway.Dispatcher. It is safe for concurrent use.
 type Dispatcher struct {
-	cfg        Config
-	conditions *conditions
-	owners     *owners
-	memory     *memory
-	spreads    *spreads
-	reports    *reports
+	cfg       Config
+	health    *healthTracker
+	owners    *ownerClient
+	locations *adapterLocations
+	hotKeys   *hotKeys
+	reports   *reportCache
 }
 
-// New returns a dispatcher.
+// New returns a Dispatcher.
 func New(cfg Config) *Dispatcher {
 	return &Dispatcher{
-		cfg:        cfg,
-		conditions: newConditions(cfg.Metrics, cfg.Log),
-		memory:     newMemory(),
-		spreads:    newSpreads(),
-		reports:    newReports(cfg.Engines, cfg.Log),
-		owners:     newOwners(cfg.Self, cfg.Incarnation, cfg.Orders, cfg.Leases, cfg.Caller, cfg.Log),
+		cfg:       cfg,
+		health:    newHealthTracker(cfg.Metrics, cfg.Log),
+		locations: newAdapterLocations(),
+		hotKeys:   newHotKeys(),
+		reports:   newReportCache(cfg.Engines, cfg.Log),
+		owners:    newOwnerClient(cfg.Self, cfg.Incarnation, cfg.Orders, cfg.Leases, cfg.Caller, cfg.Log),
 	}
 }
 
-// sweepPause is the time between two passes over the conditions of endpoints.
-const sweepPause = 10 * time.Second
+// sweepInterval is the time between two passes that discard outdated entries of the dispatcher's tables.
+const sweepInterval = 10 * time.Second
 
-// Run passes notices on to the owners of engines until ctx ends.
+// Run sends permit notices to the owners of engines and discards outdated state until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) {
-	go clock.Every(ctx, sweepPause, func(now time.Time) {
-		d.conditions.sweep(now)
-		d.memory.sweep(now)
-		d.spreads.sweep(now)
+	go clock.Every(ctx, sweepInterval, func(now time.Time) {
+		d.health.sweep(now)
+		d.locations.sweep(now)
+		d.hotKeys.sweep(now)
 		d.reports.sweep(now)
 	})
 	d.owners.run(ctx)
 }
 
-// Seen takes in the adapters that an engine has reported to hold.
+// Seen records the adapters that an engine reports as loaded.
 func (d *Dispatcher) Seen(e roster.Endpoint) {
 	now := time.Now()
 	for _, a := range e.Loaded {
-		d.memory.note(residency.KeyOf(a), e.Incarnation, a.Version, now)
+		d.locations.record(residency.KeyOf(a), e.Incarnation, a.Version, now)
 	}
 }
 
 // Place implements gateway.Dispatcher.
-func (d *Dispatcher) Place(ctx context.Context, w gateway.Work) (gateway.Place, error) {
-	group, now := d.cfg.Roster.View().Group(w.Group.Name), time.Now()
-	candidates := d.conditions.candidates(group, w.Exclude, now)
+func (d *Dispatcher) Place(ctx context.Context, req gateway.Request) (gateway.Placement, error) {
+	group, now := d.cfg.Roster.View().Group(req.Group.Name), time.Now()
+	candidates := d.health.candidates(group, req.Exclude, now)
 	if len(candidates) == 0 {
-		return gateway.Place{}, d.none(group, now)
+		return gateway.Placement{}, d.noEndpointError(group, now)
 	}
-	if w.Group.Engine == nil {
-		e, cost := d.conditions.pickService(candidates, d.cfg.FailureDomain, rand.IntN)
-		d.logPlaced(w, e, logrus.Fields{"by": "least_cost", "cost": cost.Round(time.Microsecond), "candidates": len(candidates)})
-		return d.place(e, 0, 0, func(orders.Notice) {}), nil
+	if req.Group.Engine == nil {
+		e, cost := d.health.pickService(candidates, d.cfg.FailureDomain, rand.IntN)
+		d.logPlaced(req, e, logrus.Fields{"by": "least_cost", "cost": cost.Round(time.Microsecond), "candidates": len(candidates)})
+		return d.newPlacement(e, 0, 0, func(orders.Notice) {}), nil
 	}
-	return d.placeAtEngine(ctx, w, candidates)
+	return d.placeOnEngine(ctx, req, candidates)
 }
 
-// none is the refusal of a request that no endpoint takes.
-func (d *Dispatcher) none(group []roster.Endpoint, now time.Time) error {
-	until := d.conditions.pausedUntil(group, now)
+// noEndpointError returns the error for a request that no endpoint of the group accepts.
+func (d *Dispatcher) noEndpointError(group []roster.Endpoint, now time.Time) error {
+	until := d.health.earliestPauseEnd(group, now)
 	if until.IsZero() {
 		return result.New(result.NoEndpoint, "no endpoint takes requests for the route")
 	}
 	e := result.New(result.QueueFull, "the endpoints that are left have asked for a pause")
-	e.RetryAfter = max(until.Sub(now), soonest)
+	e.RetryAfter = max(until.Sub(now), minRetryAfter)
 	return e
 }
 
-// logPlaced writes the line of a request that goes to an endpoint, with what has decided it.
-func (d *Dispatcher) logPlaced(w gateway.Work, e roster.Endpoint, why logrus.Fields) {
-	d.cfg.Log.WithFields(why).WithFields(logrus.Fields{
-		"event": "placed", "id": w.ID, "endpoint": e.ID, "started": e.Started,
+// logPlaced logs that a request goes to an endpoint, together with the reasons for the choice.
+func (d *Dispatcher) logPlaced(req gateway.Request, e roster.Endpoint, reasons logrus.Fields) {
+	d.cfg.Log.WithFields(reasons).WithFields(logrus.Fields{
+		"event": "placed", "id": req.ID, "endpoint": e.ID, "started": e.Started,
 		"list_age": d.cfg.RosterAge().Round(time.Millisecond),
-	}).Info()
+	}).Info("request placed on endpoint")
 }
 
-// place returns a place and notes the request that goes there. expected is the time to the first part of
-// its answer.
-func (d *Dispatcher) place(e roster.Endpoint, version int, expected time.Duration, notify func(orders.Notice)) gateway.Place {
-	trial := d.conditions.sent(e.Incarnation, time.Now(), expected)
-	alive := func() {
-		d.conditions.mu.Lock()
-		defer d.conditions.mu.Unlock()
-		d.conditions.get(e.Incarnation).alive(time.Now())
+// newPlacement records that a request is about to be sent to an endpoint and returns its placement. expected is
+// the expected time to the first part of the response. notify receives what becomes of the request's permit.
+func (d *Dispatcher) newPlacement(e roster.Endpoint, version int, expected time.Duration, notify func(orders.Notice)) gateway.Placement {
+	trial := d.health.requestSent(e.Incarnation, time.Now(), expected)
+	recordActivity := func() {
+		d.health.mu.Lock()
+		defer d.health.mu.Unlock()
+		d.health.get(e.Incarnation).recordActivity(time.Now())
 	}
-	return gateway.Place{
+	return gateway.Placement{
 		Endpoint:       e,
 		AdapterVersion: version,
 		Started: func(after time.Duration) {
-			alive()
+			recordActivity()
 			notify(orders.Notice{Started: true, First: after})
 		},
-		Progress: alive,
+		Progress: recordActivity,
 		Done: func(o gateway.Outcome) {
-			d.conditions.done(e.Incarnation, o, trial, time.Now())
-			notify(orders.Notice{Ended: true, Missing: o.NotLoaded})
+			d.health.requestDone(e.Incarnation, o, trial, time.Now())
+			notify(orders.Notice{Ended: true, Missing: o.AdapterMissing})
 		},
 	}
 }
--- a/pkg/dispatch/health.go
+++ b/pkg/dispatch/health.go
@@ -14,279 +14,291 @@
 )
 
 const (
-	// failureHalfLife is the time in which past failures lose half their weight.
+	// failureHalfLife is the time in which the failure share of an endpoint halves without new outcomes.
 	failureHalfLife = 2 * time.Second
-	// failureRate is the weight of one outcome in the share of failures.
-	failureRate = 0.25
-	// sickShare is the share of failures from which an endpoint is avoided.
-	sickShare = 0.35
-	// firstBackoff is how long an endpoint that cannot be connected to is avoided; it doubles with each
+	// failureWeight is the weight of one outcome in the failure share.
+	failureWeight = 0.25
+	// maxFailureShare is the failure share from which on an endpoint is avoided.
+	maxFailureShare = 0.35
+	// initialBackoff is how long an endpoint that cannot be connected to is avoided. It doubles with each
 	// further failure up to maxBackoff, which is about the time of a restart.
-	firstBackoff = 200 * time.Millisecond
-	maxBackoff   = 2 * time.Second
-	// silence is how long an endpoint with requests may send nothing before it is avoided.
-	silence = 600 * time.Millisecond
-	// maxPauseSpread bounds the time over which VMs spread their first requests after a pause that an endpoint has asked
-	// for; it is a quarter of the pause if that is less.
-	maxPauseSpread = time.Second
-	// trialStep is when to come back for an endpoint that takes one request at a time after a pause.
-	trialStep = 50 * time.Millisecond
-	// latencyRate is the weight of a new time in the average.
-	latencyRate = 0.2
-	// firstLatency is assumed before a time was measured.
-	firstLatency = 20 * time.Millisecond
+	initialBackoff = 200 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+	// unresponsiveAfter is how long an endpoint with outstanding requests may send nothing before it is
+	// avoided.
+	unresponsiveAfter = 600 * time.Millisecond
+	// maxPauseJitter bounds the time over which VMs spread their first requests after a pause that an endpoint
+	// has asked for. A quarter of the pause applies if that is less.
+	maxPauseJitter = time.Second
+	// trialRetryDelay is when to retry an endpoint that takes one request at a time after a pause.
+	trialRetryDelay = 50 * time.Millisecond
+	// latencyWeight is the weight of a new latency in the moving average.
+	latencyWeight = 0.2
+	// initialLatency is assumed before a latency has been measured.
+	initialLatency = 20 * time.Millisecond
 )
 
-// condition is what this VM knows of one run of an endpoint from its own requests.
-type condition struct {
+// endpointHealth is what this VM knows of one incarnation of an endpoint from its own requests.
+type endpointHealth struct {
+	// outstanding is the number of requests at the endpoint.
 	outstanding int
-	// quietSince is when the endpoint last gave a sign of life, or when the first answer was due of the
-	// requests that it got after that.
-	quietSince time.Time
-	failures   float64
-	failedAt   time.Time
+	// lastActivity is when the endpoint last sent something. For requests sent to an idle endpoint it is when
+	// the first response was due, which may be in the future.
+	lastActivity time.Time
+	// failures is the share of failed requests at failedAt, an exponential moving average; see failureShare.
+	failures float64
+	failedAt time.Time
+	// backoff is the current backoff of an endpoint that cannot be connected to, which ends at avoidUntil.
 	backoff    time.Duration
 	avoidUntil time.Time
-	latency    time.Duration
-	seen       time.Time
-	// pausedUntil is until when the endpoint wants no requests from this VM. After that, trial says that it gets one at a
-	// time until it takes one: all VMs come back at about the same moment.
+	// latency is the moving average of the time to the first part of a response; 0 if none has been measured.
+	latency time.Duration
+	// lastUsed is when a request was last sent to the endpoint or ended there.
+	lastUsed time.Time
+	// pausedUntil is until when the endpoint wants no requests from this VM. After that, halfOpen says that it
+	// gets one request at a time until it has accepted one, because all VMs return at about the same moment.
 	pausedUntil time.Time
-	trial       bool
-	// trying says that such a request is under way.
-	trying bool
-	// avoided says that the endpoint was unfit when it was last looked at.
+	halfOpen    bool
+	// trialInFlight says that the single request of a half-open endpoint is under way.
+	trialInFlight bool
+	// avoided says that the endpoint was avoided when this was last checked.
 	avoided bool
 }
 
-// paused returns until when the endpoint must get no request, zero if it may get one now.
-func (c *condition) paused(now time.Time) time.Time {
+// blockedUntil returns until when the endpoint must not get requests; zero if it may get one now.
+func (h *endpointHealth) blockedUntil(now time.Time) time.Time {
 	switch {
-	case now.Before(c.pausedUntil):
-		return c.pausedUntil
-	case c.trying:
-		return now.Add(trialStep)
+	case now.Before(h.pausedUntil):
+		return h.pausedUntil
+	case h.trialInFlight:
+		return now.Add(trialRetryDelay)
 	}
 	return time.Time{}
 }
 
-// pause notes that the endpoint wants no requests for d. luck, from 0 to 1, spreads the VMs' first requests after it.
-func (c *condition) pause(d time.Duration, luck float64, now time.Time) {
-	spread := time.Duration(luck * float64(min(d/4, maxPauseSpread)))
-	if until := now.Add(d + spread); until.After(c.pausedUntil) {
-		c.pausedUntil = until
+// pause records that the endpoint wants no requests for d. jitter, from 0 to 1, spreads the VMs' first requests
+// after the pause.
+func (h *endpointHealth) pause(d time.Duration, jitter float64, now time.Time) {
+	spread := time.Duration(jitter * float64(min(d/4, maxPauseJitter)))
+	if until := now.Add(d + spread); until.After(h.pausedUntil) {
+		h.pausedUntil = until
 	}
-	c.trial, c.trying = true, false
+	h.halfOpen, h.trialInFlight = true, false
 }
 
-// share returns the decayed share of failures.
-func (c *condition) share(now time.Time) float64 {
-	if c.failures == 0 {
+// failureShare returns the share of failed requests, decayed to now.
+func (h *endpointHealth) failureShare(now time.Time) float64 {
+	if h.failures == 0 {
 		return 0
 	}
-	return c.failures * math.Exp2(-now.Sub(c.failedAt).Seconds()/failureHalfLife.Seconds())
+	return h.failures * math.Exp2(-now.Sub(h.failedAt).Seconds()/failureHalfLife.Seconds())
 }
 
 // Reasons to avoid an endpoint.
 const (
-	unreachable = "unreachable"
-	silent      = "silent"
-	failing     = "failing"
+	reasonUnreachable  = "unreachable"
+	reasonUnresponsive = "silent"
+	reasonFailing      = "failing"
 )
 
-// unfit returns why requests should not go to the endpoint, empty if they may.
-func (c *condition) unfit(now time.Time) string {
+// avoidReason returns why requests should not go to the endpoint; empty if they may.
+func (h *endpointHealth) avoidReason(now time.Time) string {
 	switch {
-	case now.Before(c.avoidUntil):
-		return unreachable
-	case c.outstanding > 0 && now.Sub(c.quietSince) > silence:
-		return silent
-	case c.share(now) >= sickShare:
-		return failing
+	case now.Before(h.avoidUntil):
+		return reasonUnreachable
+	case h.outstanding > 0 && now.Sub(h.lastActivity) > unresponsiveAfter:
+		return reasonUnresponsive
+	case h.failureShare(now) >= maxFailureShare:
+		return reasonFailing
 	}
 	return ""
 }
 
-// fit reports whether requests should go to the endpoint. It logs when that has changed. s.mu is held.
-func (s *conditions) fit(id roster.Incarnation, now time.Time) bool {
-	c := s.get(id)
-	why := c.unfit(now)
-	if (why != "") == c.avoided {
+// usable reports whether requests should go to the endpoint, and logs when that has changed. s.mu is held.
+func (s *healthTracker) usable(id roster.Incarnation, now time.Time) bool {
+	h := s.get(id)
+	why := h.avoidReason(now)
+	if (why != "") == h.avoided {
 		return why == ""
 	}
-	c.avoided = why != ""
+	h.avoided = why != ""
 	entry := s.log.WithFields(logrus.Fields{
-		"endpoint": id.ID, "started": id.Started, "failures": c.share(now), "outstanding": c.outstanding,
-		"quiet": now.Sub(c.quietSince).Round(time.Millisecond),
+		"endpoint": id.ID, "started": id.Started, "failures": h.failureShare(now), "outstanding": h.outstanding,
+		"quiet": now.Sub(h.lastActivity).Round(time.Millisecond),
 	})
-	if c.avoided {
-		entry.WithFields(logrus.Fields{"event": "endpoint_avoided", "why": why}).Warn()
+	if h.avoided {
+		entry.WithFields(logrus.Fields{"event": "endpoint_avoided", "why": why}).Warn("endpoint is avoided")
 	} else {
-		entry.WithField("event", "endpoint_fit").Info()
+		entry.WithField("event", "endpoint_fit").Info("endpoint is used again")
 	}
-	return !c.avoided
+	return !h.avoided
 }
 
-// sent notes a request that goes to the endpoint. It reports whether that is the only one after a pause.
-func (s *conditions) sent(id roster.Incarnation, now time.Time, expected time.Duration) (trial bool) {
+// requestSent records a request that goes to the endpoint. It reports whether this is the single trial request
+// after a pause.
+func (s *healthTracker) requestSent(id roster.Incarnation, now time.Time, expected time.Duration) (trial bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.get(id)
-	c.sent(now, expected)
-	c.trying = c.trying || c.trial
-	return c.trial
+	h := s.get(id)
+	h.requestSent(now, expected)
+	h.trialInFlight = h.trialInFlight || h.halfOpen
+	return h.halfOpen
 }
 
-// done notes how the endpoint fared with a request, which was the only one after a pause if trial.
-func (s *conditions) done(id roster.Incarnation, o gateway.Outcome, trial bool, now time.Time) {
+// requestDone records the outcome of a request. trial says that it was the single trial request after a pause.
+func (s *healthTracker) requestDone(id roster.Incarnation, o gateway.Outcome, trial bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.get(id)
-	if c.ended(o, now); trial {
-		c.trying = false
-		c.trial = o.Cut || o.Unreachable || o.Rejected || o.Failed
+	h := s.get(id)
+	if h.requestEnded(o, now); trial {
+		h.trialInFlight = false
+		h.halfOpen = o.Canceled || o.Unreachable || o.Rejected || o.Failed
 	}
 	if o.Pause == 0 {
 		return
 	}
-	c.pause(o.Pause, s.luck(), now)
+	h.pause(o.Pause, s.jitter(), now)
 	s.pauses.Inc(1)
 	s.log.WithFields(logrus.Fields{
 		"event": "endpoint_paused", "endpoint": id.ID, "started": id.Started, "asked": o.Pause,
-		"until": c.pausedUntil.Sub(now).Round(time.Millisecond), "outstanding": c.outstanding,
-	}).Info()
+		"until": h.pausedUntil.Sub(now).Round(time.Millisecond), "outstanding": h.outstanding,
+	}).Info("endpoint asked for a pause")
 }
 
-// sent notes a request that goes to the endpoint, and the time that its answer is expected to take to begin.
-func (c *condition) sent(now time.Time, expected time.Duration) {
-	if c.outstanding == 0 {
-		c.quietSince = now.Add(expected)
+// requestSent records a request that goes to the endpoint. expected is the expected time to its first response
+// part.
+func (h *endpointHealth) requestSent(now time.Time, expected time.Duration) {
+	if h.outstanding == 0 {
+		h.lastActivity = now.Add(expected)
 	}
-	c.outstanding++
-	c.seen = now
+	h.outstanding++
+	h.lastUsed = now
 }
 
-// alive notes a sign of life.
-func (c *condition) alive(now time.Time) {
-	c.quietSince = now
-	c.backoff = 0
-	c.avoidUntil = time.Time{}
+// recordActivity records that the endpoint has sent something.
+func (h *endpointHealth) recordActivity(now time.Time) {
+	h.lastActivity = now
+	h.backoff = 0
+	h.avoidUntil = time.Time{}
 }
 
-// ended notes how the endpoint fared with a request.
-func (c *condition) ended(o gateway.Outcome, now time.Time) {
-	c.outstanding--
-	c.seen = now
+// requestEnded records the outcome of a request.
+func (h *endpointHealth) requestEnded(o gateway.Outcome, now time.Time) {
+	h.outstanding--
+	h.lastUsed = now
 	switch {
 	case o.Unreachable:
-		c.backoff = min(max(2*c.backoff, firstBackoff), maxBackoff)
-		c.avoidUntil = now.Add(c.backoff)
-	case o.Cut, o.Pause > 0:
+		h.backoff = min(max(2*h.backoff, initialBackoff), maxBackoff)
+		h.avoidUntil = now.Add(h.backoff)
+	case o.Canceled, o.Pause > 0:
 	case o.Failed:
-		c.note(1, now)
-		c.quietSince = now
+		h.recordOutcome(1, now)
+		h.lastActivity = now
 	default:
-		c.note(0, now)
-		c.alive(now)
+		h.recordOutcome(0, now)
+		h.recordActivity(now)
 	}
-	if o.First > 0 {
-		c.measure(o.First)
+	if o.FirstByte > 0 {
+		h.recordLatency(o.FirstByte)
 	}
 }
 
-// note takes one outcome into the share of failures.
-func (c *condition) note(failed float64, now time.Time) {
-	share := c.share(now)
-	c.failures = share + failureRate*(failed-share)
-	c.failedAt = now
+// recordOutcome adds an outcome to the failure share: 1 for a failure, 0 for a success.
+func (h *endpointHealth) recordOutcome(failed float64, now time.Time) {
+	share := h.failureShare(now)
+	h.failures = share + failureWeight*(failed-share)
+	h.failedAt = now
 }
 
-// measure takes a time to the first part of an answer into the average. A longer one counts at once.
-func (c *condition) measure(d time.Duration) {
-	if c.latency == 0 || d > c.latency {
-		c.latency = d
+// recordLatency adds a time to the first response part to the moving average. A longer one replaces the average
+// at once.
+func (h *endpointHealth) recordLatency(d time.Duration) {
+	if h.latency == 0 || d > h.latency {
+		h.latency = d
 		return
 	}
-	c.latency += time.Duration(latencyRate * float64(d-c.latency))
+	h.latency += time.Duration(latencyWeight * float64(d-h.latency))
 }
 
-// cost is the expected time for one more request.
-func (c *condition) cost() time.Duration {
-	latency := c.latency
+// cost returns the expected latency of one more request.
+func (h *endpointHealth) cost() time.Duration {
+	latency := h.latency
 	if latency == 0 {
-		latency = firstLatency
+		latency = initialLatency
 	}
-	return latency * time.Duration(c.outstanding+1)
+	return latency * time.Duration(h.outstanding+1)
 }
 
-// conditions are those of all endpoints. They are safe for concurrent use.
-type conditions struct {
+// healthTracker tracks the health of all endpoints. It is safe for concurrent use.
+type healthTracker struct {
 	log logrus.FieldLogger
-	// pauses counts the pauses that endpoints have asked for; luck returns a random number from 0 to 1.
+	// pauses counts the pauses that endpoints have asked for. jitter returns a random number from 0 to 1.
 	pauses metrics.Counter
-	luck   func() float64
+	jitter func() float64
 
-	mu   sync.Mutex
-	list map[roster.Incarnation]*condition // guarded by mu
+	mu        sync.Mutex
+	endpoints map[roster.Incarnation]*endpointHealth // guarded by mu
 }
 
 // metricPauses counts the pauses that endpoints have asked for.
 const metricPauses = "dispatch.pauses"
 
-func newConditions(registry metrics.Registry, log logrus.FieldLogger) *conditions {
-	return &conditions{
-		log: log, pauses: metrics.GetOrRegisterCounter(metricPauses, registry), luck: rand.Float64,
-		list: map[roster.Incarnation]*condition{},
+func newHealthTracker(registry metrics.Registry, log logrus.FieldLogger) *healthTracker {
+	return &healthTracker{
+		log: log, pauses: metrics.GetOrRegisterCounter(metricPauses, registry), jitter: rand.Float64,
+		endpoints: map[roster.Incarnation]*endpointHealth{},
 	}
 }
 
-// get returns the condition of an endpoint. s.mu is held.
-func (s *conditions) get(id roster.Incarnation) *condition {
-	c := s.list[id]
-	if c == nil {
-		c = &condition{}
-		s.list[id] = c
+// get returns the health of an endpoint, which it creates if necessary. s.mu is held.
+func (s *healthTracker) get(id roster.Incarnation) *endpointHealth {
+	h := s.endpoints[id]
+	if h == nil {
+		h = &endpointHealth{}
+		s.endpoints[id] = h
 	}
-	return c
+	return h
 }
 
-// Condition is what a VM knows of an endpoint from its own requests.
+// Condition is the health of an endpoint as seen by this VM's own requests.
 type Condition struct {
-	// Avoided says why requests do not go to the endpoint, empty if they do.
-	Avoided     string  `json:"avoided"`
-	Outstanding int     `json:"outstanding"`
-	Failures    float64 `json:"failures"`
+	// Avoided says why requests do not go to the endpoint; empty if they do.
+	Avoided string `json:"avoided"`
+	// Outstanding is the number of this VM's requests at the endpoint.
+	Outstanding int `json:"outstanding"`
+	// Failures is the decayed share of failed requests, from 0 to 1.
+	Failures float64 `json:"failures"`
 	// Paused is for how much longer the endpoint wants no requests from this VM.
 	Paused string `json:"paused"`
-	// Latency is the time to the first part of an answer.
+	// Latency is the moving average of the time to the first part of a response.
 	Latency string `json:"latency"`
 }
 
-// Condition returns what this VM knows of an endpoint.
+// Condition returns the health of an endpoint as seen by this VM's own requests.
 func (d *Dispatcher) Condition(id roster.Incarnation) Condition {
-	s, now := d.conditions, time.Now()
+	s, now := d.health, time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.list[id]
-	if c == nil {
+	h := s.endpoints[id]
+	if h == nil {
 		return Condition{}
 	}
 	return Condition{
-		Avoided: c.unfit(now), Outstanding: c.outstanding, Failures: c.share(now),
-		Latency: c.latency.Round(time.Millisecond).String(), Paused: max(0, c.pausedUntil.Sub(now)).Round(time.Millisecond).String(),
+		Avoided: h.avoidReason(now), Outstanding: h.outstanding, Failures: h.failureShare(now),
+		Latency: h.latency.Round(time.Millisecond).String(), Paused: max(0, h.pausedUntil.Sub(now)).Round(time.Millisecond).String(),
 	}
 }
 
-// forgetAfter is how long the condition of an unused endpoint is kept.
-const forgetAfter = time.Minute
+// healthRetention is how long the health of an unused endpoint is kept.
+const healthRetention = time.Minute
 
-// sweep forgets endpoints that have not been used for long.
-func (s *conditions) sweep(now time.Time) {
+// sweep discards the health of endpoints that have not been used for healthRetention.
+func (s *healthTracker) sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, c := range s.list {
-		if c.outstanding == 0 && now.Sub(c.seen) > forgetAfter && now.After(c.pausedUntil) {
-			delete(s.list, id)
+	for id, h := range s.endpoints {
+		if h.outstanding == 0 && now.Sub(h.lastUsed) > healthRetention && now.After(h.pausedUntil) {
+			delete(s.endpoints, id)
 		}
 	}
 }
--- a/pkg/dispatch/health_test.go
+++ b/pkg/dispatch/health_test.go
@@ -32,147 +32,148 @@
 	return names
 }
 
-func quiet() logrus.FieldLogger {
+func discardLogger() logrus.FieldLogger {
 	log, _ := test.NewNullLogger()
 	return log
 }
 
-// The log says when and why an endpoint is avoided, and when it no longer is.
-func TestConditionsAreLoggedWhenTheyChange(t *testing.T) {
-	log, lines := test.NewNullLogger()
-	s := newConditions(metrics.NewRegistry(), log)
+// The log says when and why an endpoint is avoided, and when it is used again.
+func TestHealthChangesAreLogged(t *testing.T) {
+	log, hook := test.NewNullLogger()
+	s := newHealthTracker(metrics.NewRegistry(), log)
 	for range 4 {
-		s.play("a", gateway.Outcome{Failed: true}, start)
+		s.simulate("a", gateway.Outcome{Failed: true}, start)
 	}
 	for range 3 {
 		s.candidates(endpoints("a", "b"), nil, start)
 	}
-	require.Len(t, lines.Entries, 1)
-	require.Equal(t, "endpoint_avoided", lines.LastEntry().Data["event"])
-	require.Equal(t, failing, lines.LastEntry().Data["why"])
+	require.Len(t, hook.Entries, 1)
+	require.Equal(t, "endpoint_avoided", hook.LastEntry().Data["event"])
+	require.Equal(t, reasonFailing, hook.LastEntry().Data["why"])
 	s.candidates(endpoints("a", "b"), nil, start.Add(10*time.Second))
-	require.Equal(t, "endpoint_fit", lines.LastEntry().Data["event"])
-	require.Len(t, lines.Entries, 2)
+	require.Equal(t, "endpoint_fit", hook.LastEntry().Data["event"])
+	require.Len(t, hook.Entries, 2)
 }
 
-// play sends one request to an endpoint and notes its outcome.
-func (s *conditions) play(id string, o gateway.Outcome, now time.Time) {
+// simulate simulates one request to an endpoint with the given outcome.
+func (s *healthTracker) simulate(id string, o gateway.Outcome, now time.Time) {
 	c := s.get(roster.Incarnation{ID: id})
-	c.sent(now, 0)
-	c.ended(o, now)
+	c.requestSent(now, 0)
+	c.requestEnded(o, now)
 }
 
-// Endpoints that fail requests while their health is good are avoided, and tried again later.
+// Endpoints that fail requests although their health checks pass are avoided, and tried again later.
 func TestFailingEndpointsAreAvoided(t *testing.T) {
-	s := newConditions(metrics.NewRegistry(), quiet())
+	s := newHealthTracker(metrics.NewRegistry(), discardLogger())
 	for range 4 {
-		s.play("a", gateway.Outcome{Failed: true}, start)
-		s.play("b", gateway.Outcome{First: 10 * time.Millisecond}, start)
+		s.simulate("a", gateway.Outcome{Failed: true}, start)
+		s.simulate("b", gateway.Outcome{FirstByte: 10 * time.Millisecond}, start)
 	}
 	require.Equal(t, []string{"b"}, ids(s.candidates(endpoints("a", "b"), nil, start)))
 	require.Equal(t, []string{"a", "b"}, ids(s.candidates(endpoints("a", "b"), nil, start.Add(10*time.Second))))
 }
 
 // When all endpoints fail, none is avoided.
-func TestAllEndpointsFail(t *testing.T) {
-	s := newConditions(metrics.NewRegistry(), quiet())
+func TestNoneIsAvoidedWhenAllEndpointsFail(t *testing.T) {
+	s := newHealthTracker(metrics.NewRegistry(), discardLogger())
 	for range 4 {
-		s.play("a", gateway.Outcome{Failed: true}, start)
-		s.play("b", gateway.Outcome{Failed: true}, start)
+		s.simulate("a", gateway.Outcome{Failed: true}, start)
+		s.simulate("b", gateway.Outcome{Failed: true}, start)
 	}
 	require.Equal(t, []string{"a", "b"}, ids(s.candidates(endpoints("a", "b"), nil, start)))
 }
 
-func TestAnUnreachableEndpointIsTriedAgainAfterABackoff(t *testing.T) {
-	s := newConditions(metrics.NewRegistry(), quiet())
-	s.play("a", gateway.Outcome{Unreachable: true}, start)
+func TestUnreachableEndpointIsRetriedAfterBackoff(t *testing.T) {
+	s := newHealthTracker(metrics.NewRegistry(), discardLogger())
+	s.simulate("a", gateway.Outcome{Unreachable: true}, start)
 	require.Equal(t, []string{"b"}, ids(s.candidates(endpoints("a", "b"), nil, start)))
-	soon := start.Add(firstBackoff)
+	soon := start.Add(initialBackoff)
 	require.Equal(t, []string{"a", "b"}, ids(s.candidates(endpoints("a", "b"), nil, soon)))
-	s.play("a", gateway.Outcome{Unreachable: true}, soon)
-	require.Equal(t, []string{"b"}, ids(s.candidates(endpoints("a", "b"), nil, soon.Add(firstBackoff))))
-	s.play("a", gateway.Outcome{}, soon)
+	s.simulate("a", gateway.Outcome{Unreachable: true}, soon)
+	require.Equal(t, []string{"b"}, ids(s.candidates(endpoints("a", "b"), nil, soon.Add(initialBackoff))))
+	s.simulate("a", gateway.Outcome{}, soon)
 	require.Equal(t, []string{"a", "b"}, ids(s.candidates(endpoints("a", "b"), nil, soon)))
 }
 
-// An endpoint that has requests and sends nothing for a while is avoided until it sends again.
-func TestASilentEndpointIsAvoided(t *testing.T) {
-	s := newConditions(metrics.NewRegistry(), quiet())
+// An endpoint that has outstanding requests but sends nothing is avoided until it sends again.
+func TestUnresponsiveEndpointIsAvoided(t *testing.T) {
+	s := newHealthTracker(metrics.NewRegistry(), discardLogger())
 	c := s.get(roster.Incarnation{ID: "a"})
-	c.sent(start, 0)
-	late := start.Add(silence + time.Millisecond)
+	c.requestSent(start, 0)
+	late := start.Add(unresponsiveAfter + time.Millisecond)
 	require.Equal(t, []string{"b"}, ids(s.candidates(endpoints("a", "b"), nil, late)))
-	c.alive(late)
+	c.recordActivity(late)
 	require.Equal(t, []string{"a", "b"}, ids(s.candidates(endpoints("a", "b"), nil, late)))
 }
 
-// One request at an engine: its queue is known to be long, and its answer is a long stream. Neither makes the
-// engine silent as long as the answer begins about when it is due and its parts keep coming.
-func TestALongAnswerIsNoSilence(t *testing.T) {
+// A single request at an engine waits in a queue of known length, and its response is a long stream. The engine
+// must not count as unresponsive as long as the response begins about when it is due and further parts keep
+// arriving.
+func TestLongResponseIsNotUnresponsive(t *testing.T) {
 	const queue = 500 * time.Millisecond
-	s := newConditions(metrics.NewRegistry(), quiet())
+	s := newHealthTracker(metrics.NewRegistry(), discardLogger())
 	c := s.get(roster.Incarnation{ID: "a"})
-	c.sent(start, queue)
-	now := start.Add(queue + silence)
+	c.requestSent(start, queue)
+	now := start.Add(queue + unresponsiveAfter)
 	require.Equal(t, []string{"a", "b"}, ids(s.candidates(endpoints("a", "b"), nil, now)))
 	for range 20 {
-		c.alive(now)
-		now = now.Add(silence / 2)
+		c.recordActivity(now)
+		now = now.Add(unresponsiveAfter / 2)
 		require.Equal(t, []string{"a", "b"}, ids(s.candidates(endpoints("a", "b"), nil, now)))
 	}
-	now = now.Add(silence)
+	now = now.Add(unresponsiveAfter)
 	require.Equal(t, []string{"b"}, ids(s.candidates(endpoints("a", "b"), nil, now)), "the stream has stopped")
 }
 
-// The place that a request gets tells the dispatcher that its answer goes on.
-func TestAPlacePassesProgressOn(t *testing.T) {
-	d := New(Config{Log: quiet()})
+// The progress callback of a placement records activity of the endpoint.
+func TestPlacementRecordsProgress(t *testing.T) {
+	d := New(Config{Log: discardLogger()})
 	e := endpoints("a")[0]
-	place := d.place(e, 0, 0, func(orders.Notice) {})
-	d.conditions.get(e.Incarnation).quietSince = time.Now().Add(-2 * silence)
-	require.Equal(t, silent, d.Condition(e.Incarnation).Avoided)
-	place.Progress()
+	placement := d.newPlacement(e, 0, 0, func(orders.Notice) {})
+	d.health.get(e.Incarnation).lastActivity = time.Now().Add(-2 * unresponsiveAfter)
+	require.Equal(t, reasonUnresponsive, d.Condition(e.Incarnation).Avoided)
+	placement.Progress()
 	require.Empty(t, d.Condition(e.Incarnation).Avoided)
 }
 
-func TestLeavingAndExcludedEndpointsAreLeftOut(t *testing.T) {
-	s := newConditions(metrics.NewRegistry(), quiet())
+func TestDrainingAndExcludedEndpointsAreLeftOut(t *testing.T) {
+	s := newHealthTracker(metrics.NewRegistry(), discardLogger())
 	list := endpoints("a", "b", "c")
 	list[0].Draining = true
 	require.Equal(t, []string{"c"}, ids(s.candidates(list, []string{"b"}, start)))
 	require.Empty(t, s.candidates(list[:2], []string{"b"}, start))
 }
 
-// The work spreads by expected time: slower endpoints and those with more requests get fewer.
-func TestServiceSpreadsByExpectedTime(t *testing.T) {
-	s := newConditions(metrics.NewRegistry(), quiet())
+// Requests are spread by expected latency: slower endpoints and those with more requests get fewer.
+func TestServiceRequestsSpreadByExpectedLatency(t *testing.T) {
+	s := newHealthTracker(metrics.NewRegistry(), discardLogger())
 	list := endpoints("fast", "slow")
-	s.play("fast", gateway.Outcome{First: 10 * time.Millisecond}, start)
-	s.play("slow", gateway.Outcome{First: 40 * time.Millisecond}, start)
+	s.simulate("fast", gateway.Outcome{FirstByte: 10 * time.Millisecond}, start)
+	s.simulate("slow", gateway.Outcome{FirstByte: 40 * time.Millisecond}, start)
 	counts := map[string]int{}
 	for range 10 {
 		e, _ := s.pickService(list, "here", func(int) int { return 0 })
-		s.get(e.Incarnation).sent(start, 0)
+		s.get(e.Incarnation).requestSent(start, 0)
 		counts[e.ID]++
 	}
 	require.Equal(t, map[string]int{"fast": 8, "slow": 2}, counts)
 }
 
-func TestServicePrefersItsFailureDomain(t *testing.T) {
-	s := newConditions(metrics.NewRegistry(), quiet())
+func TestServicePrefersOwnFailureDomain(t *testing.T) {
+	s := newHealthTracker(metrics.NewRegistry(), discardLogger())
 	list := endpoints("far", "near")
 	list[0].FailureDomain = "there"
 	picked, _ := s.pickService(list, "here", func(int) int { return 0 })
 	require.Equal(t, "near", picked.ID)
-	s.get(list[1].Incarnation).sent(start, 0)
+	s.get(list[1].Incarnation).requestSent(start, 0)
 	picked, _ = s.pickService(list, "here", func(int) int { return 0 })
 	require.Equal(t, "far", picked.ID)
 }
 
-func TestSweepForgets(t *testing.T) {
-	s := newConditions(metrics.NewRegistry(), quiet())
-	s.play("a", gateway.Outcome{}, start)
-	s.get(roster.Incarnation{ID: "b"}).sent(start, 0)
-	s.sweep(start.Add(2 * forgetAfter))
-	require.Len(t, s.list, 1, "b still has a request")
+func TestSweepDiscardsUnusedEndpoints(t *testing.T) {
+	s := newHealthTracker(metrics.NewRegistry(), discardLogger())
+	s.simulate("a", gateway.Outcome{}, start)
+	s.get(roster.Incarnation{ID: "b"}).requestSent(start, 0)
+	s.sweep(start.Add(2 * healthRetention))
+	require.Len(t, s.endpoints, 1, "b still has a request")
 }
--- a/pkg/dispatch/homes.go
+++ b/pkg/dispatch/homes.go
@@ -10,20 +10,21 @@
 	"github.com/mallowlink/mallowlink/pkg/roster"
 )
 
-// homeKey returns what decides where a request is at home: its adapter, or the first part of its
-// prompt if it names none. Requests with the same key find the same adapter and prompts kept.
-func homeKey(w gateway.Work) string {
-	if w.Terms.Adapter != "" {
-		return w.Terms.Model + "/" + w.Terms.Adapter
+// homeKey returns the key that determines a request's homes: its adapter, or the first part of its prompt if it
+// names no adapter. Requests with the same key go to the same engines, where they find the adapter and the
+// prompt cached.
+func homeKey(req gateway.Request) string {
+	if req.Terms.Adapter != "" {
+		return req.Terms.Model + "/" + req.Terms.Adapter
 	}
-	if len(w.Terms.Prompt) > 0 {
-		return w.Terms.Model + ":" + w.Terms.Prompt[0].ID
+	if len(req.Terms.Prompt) > 0 {
+		return req.Terms.Model + ":" + req.Terms.Prompt[0].ID
 	}
-	return w.Terms.ID
+	return req.Terms.ID
 }
 
-// rankHomes orders the candidates by rendezvous hash: each VM computes the same order, and the loss of
-// an endpoint moves only what is at home there.
+// rankHomes orders the candidates by rendezvous hash: each VM computes the same order, and the loss of an
+// endpoint moves only the keys whose first home it was.
 func rankHomes(key string, candidates []roster.Endpoint) []roster.Endpoint {
 	type scored struct {
 		score uint64
--- a/pkg/dispatch/homes_test.go
+++ b/pkg/dispatch/homes_test.go
@@ -10,7 +10,7 @@
 	"github.com/mallowlink/mallowlink/pkg/gateway"
 )
 
-// The loss of an endpoint moves only what was at home there.
+// The loss of an endpoint moves only the keys whose first home it was.
 func TestHomesAreStable(t *testing.T) {
 	all := endpoints("a", "b", "c", "d", "e", "f", "g", "h", "i")
 	moved := 0
@@ -35,12 +35,12 @@
 }
 
 func TestHomeKey(t *testing.T) {
-	work := func(model, adapter string, parts ...string) gateway.Work {
-		w := gateway.Work{Terms: dialect.Terms{ID: "r1", Model: model, Adapter: adapter}}
+	work := func(model, adapter string, parts ...string) gateway.Request {
+		req := gateway.Request{Terms: dialect.Terms{ID: "r1", Model: model, Adapter: adapter}}
 		for _, id := range parts {
-			w.Terms.Prompt = append(w.Terms.Prompt, dialect.PromptPart{ID: id})
+			req.Terms.Prompt = append(req.Terms.Prompt, dialect.PromptPart{ID: id})
 		}
-		return w
+		return req
 	}
 	require.Equal(t, homeKey(work("m", "a1", "p")), homeKey(work("m", "a1", "q")))
 	require.Equal(t, homeKey(work("m", "", "p", "x")), homeKey(work("m", "", "p", "y")))
--- a/pkg/dispatch/owners.go
+++ b/pkg/dispatch/owners.go
@@ -15,45 +15,48 @@
 )
 
 const (
-	// askTimeout is the time that a VM has for an answer on top of the time that it may wait for an
-	// adapter. VMs are about a millisecond apart.
-	askTimeout = 120 * time.Millisecond
-	// mistrust is how long a VM that has not answered is not asked.
-	mistrust = 500 * time.Millisecond
-	// noticePause is the time between two passes in which notices are sent to owners. An adapter keeps its
-	// place until its owner knows that it is no longer in use.
-	noticePause = 25 * time.Millisecond
-	// maxNotices bounds the notices held for one owner; what goes beyond is dropped, and the owner
-	// frees these permits by their time.
+	// callTimeout is the time that a VM has to respond, on top of the time that it may wait for an adapter. VMs
+	// are about 1 ms apart.
+	callTimeout = 120 * time.Millisecond
+	// ownerBackoff is how long a VM that did not respond is not called again.
+	ownerBackoff = 500 * time.Millisecond
+	// noticeInterval is the time between two passes in which queued notices are sent to owners. An adapter
+	// keeps its slot until its owner knows that it is no longer in use.
+	noticeInterval = 25 * time.Millisecond
+	// maxNotices bounds the notices queued for one owner. Further ones are dropped; the owner then frees these
+	// permits when they expire.
 	maxNotices = 512
 )
 
-// owners reaches the VMs that give orders to engines.
-type owners struct {
+// ownerClient calls the engine owners: the VMs whose leases let them send orders to engines. The owner may be
+// this VM itself. It is safe for concurrent use.
+type ownerClient struct {
 	self        string
 	incarnation string
 	local       *orders.Service
 	lessor      lease.Lessor
-	caller      peer.Caller
+	peers       peer.Caller
 	log         logrus.FieldLogger
-	permits     atomic.Uint64
+	// lastPermit is the number of the permit requested last.
+	lastPermit atomic.Uint64
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 
-	notices  map[string][]orders.Notice // by address, "" for this VM
-	mistrust map[string]time.Time       // by address
+	notices      map[string][]orders.Notice // by address, "" for this VM
+	backoffUntil map[string]time.Time       // by address
 }
 
-func newOwners(self, incarnation string, local *orders.Service, lessor lease.Lessor, caller peer.Caller, log logrus.FieldLogger) *owners {
-	return &owners{
-		self: self, incarnation: incarnation, local: local, lessor: lessor, caller: caller, log: log,
-		notices: map[string][]orders.Notice{}, mistrust: map[string]time.Time{},
+func newOwnerClient(self, incarnation string, local *orders.Service, lessor lease.Lessor, peers peer.Caller, log logrus.FieldLogger) *ownerClient {
+	return &ownerClient{
+		self: self, incarnation: incarnation, local: local, lessor: lessor, peers: peers, log: log,
+		notices: map[string][]orders.Notice{}, backoffUntil: map[string]time.Time{},
 	}
 }
 
-// address returns where the owner of an engine is, "" for this VM.
-func (o *owners) address(endpoint string) (string, bool) {
+// ownerAddress returns the peer address of an engine's owner; empty for this VM. It reports false if no owner
+// is known.
+func (o *ownerClient) ownerAddress(endpoint string) (string, bool) {
 	holder, ok := o.lessor.HolderOf(orders.LeaseOf(endpoint))
 	if !ok {
 		return "", false
@@ -64,57 +67,57 @@
 	return holder.Address, true
 }
 
-// trusted reports whether the VM has not failed to answer lately.
-func (o *owners) trusted(address string, now time.Time) bool {
+// available reports whether the VM at the address is not in backoff after an unanswered call.
+func (o *ownerClient) available(address string, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return !now.Before(o.mistrust[address])
+	return !now.Before(o.backoffUntil[address])
 }
 
-// acquire asks an owner for a place. It reports false if the owner did not answer.
-func (o *owners) acquire(ctx context.Context, address string, args *orders.AcquireArgs) (orders.AcquireReply, bool) {
+// acquire asks an owner for a permit. It reports false if the owner did not respond.
+func (o *ownerClient) acquire(ctx context.Context, address string, args *orders.AcquireArgs) (orders.AcquireReply, bool) {
 	var reply orders.AcquireReply
 	args.Caller, args.Incarnation = o.self, o.incarnation
 	args.Ended = o.takeNotices(address)
 	if address == "" {
 		return reply, o.local.Acquire(args, &reply) == nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, orders.MaxWait+askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, orders.MaxWait+callTimeout)
 	defer cancel()
-	if err := o.caller.Call(ctx, address, orders.AcquireMethod, args, &reply); err != nil {
-		// The owner may have granted the place, or may be about to.
-		o.notify(address, orders.Notice{Permit: args.Permit, Ended: true})
-		o.silent(address, err)
+	if err := o.peers.Call(ctx, address, orders.AcquireMethod, args, &reply); err != nil {
+		// The owner may have granted the permit or may still grant it, so it has to be ended.
+		o.queueNotice(address, orders.Notice{Permit: args.Permit, Ended: true})
+		o.callFailed(address, err)
 		return reply, false
 	}
-	o.answered(address)
+	o.callSucceeded(address)
 	return reply, true
 }
 
-// silent notes that a VM does not answer.
-func (o *owners) silent(address string, err error) {
+// callFailed puts a VM that did not respond into backoff.
+func (o *ownerClient) callFailed(address string, err error) {
 	o.mu.Lock()
-	_, known := o.mistrust[address]
-	o.mistrust[address] = time.Now().Add(mistrust)
+	_, known := o.backoffUntil[address]
+	o.backoffUntil[address] = time.Now().Add(ownerBackoff)
 	o.mu.Unlock()
 	if !known {
-		o.log.WithError(err).WithFields(logrus.Fields{"event": "owner_lost", "address": address}).Warn()
+		o.log.WithError(err).WithFields(logrus.Fields{"event": "owner_lost", "address": address}).Warn("engine owner did not respond")
 	}
 }
 
-// answered notes that a VM answers.
-func (o *owners) answered(address string) {
+// callSucceeded ends the backoff of a VM that has responded.
+func (o *ownerClient) callSucceeded(address string) {
 	o.mu.Lock()
-	_, was := o.mistrust[address]
-	delete(o.mistrust, address)
+	_, inBackoff := o.backoffUntil[address]
+	delete(o.backoffUntil, address)
 	o.mu.Unlock()
-	if was {
-		o.log.WithFields(logrus.Fields{"event": "owner_back", "address": address}).Info()
+	if inBackoff {
+		o.log.WithFields(logrus.Fields{"event": "owner_back", "address": address}).Info("engine owner responds again")
 	}
 }
 
-// notify keeps a notice for the next call to an owner.
-func (o *owners) notify(address string, n orders.Notice) {
+// queueNotice queues a notice for the next call to an owner.
+func (o *ownerClient) queueNotice(address string, n orders.Notice) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if list := o.notices[address]; len(list) < maxNotices {
@@ -122,7 +125,8 @@
 	}
 }
 
-func (o *owners) takeNotices(address string) []orders.Notice {
+// takeNotices removes and returns the notices queued for an owner.
+func (o *ownerClient) takeNotices(address string) []orders.Notice {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	list := o.notices[address]
@@ -132,8 +136,8 @@
 	return list
 }
 
-// flush sends the notices that no call has taken along.
-func (o *owners) flush(ctx context.Context) {
+// flush sends the queued notices that no call to acquire has carried along.
+func (o *ownerClient) flush(ctx context.Context) {
 	o.mu.Lock()
 	all := o.notices
 	o.notices = map[string][]orders.Notice{}
@@ -146,15 +150,15 @@
 			continue
 		}
 		go func() {
-			ctx, cancel := context.WithTimeout(ctx, askTimeout)
+			ctx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
-			// An owner that misses a notice frees the permit by its time.
-			_ = o.caller.Call(ctx, address, orders.ReportMethod, args, &reply)
+			// An owner that misses a notice frees the permit when it expires.
+			_ = o.peers.Call(ctx, address, orders.ReportMethod, args, &reply)
 		}()
 	}
 }
 
-// run sends notices until ctx ends.
-func (o *owners) run(ctx context.Context) {
-	clock.Every(ctx, noticePause, func(time.Time) { o.flush(ctx) })
+// run sends queued notices until ctx ends.
+func (o *ownerClient) run(ctx context.Context) {
+	clock.Every(ctx, noticeInterval, func(time.Time) { o.flush(ctx) })
 }
--- a/pkg/dispatch/reports.go
+++ b/pkg/dispatch/reports.go
@@ -18,101 +18,102 @@
 )
 
 const (
-	// reportLife is how long a report serves all requests: as old as a fresh report may be itself.
-	reportLife = 300 * time.Millisecond
-	// reportTimeout bounds the reading of a report. Engines answer within milliseconds.
+	// reportTTL is how long a cached report serves all requests. A newly fetched report may itself be that old.
+	reportTTL = 300 * time.Millisecond
+	// reportTimeout bounds the fetch of a report. Engines respond within milliseconds.
 	reportTimeout = 150 * time.Millisecond
-	// reportSweep is the age at which a report is forgotten.
-	reportSweep = 10 * time.Second
+	// reportRetention is the age at which a cached report is discarded.
+	reportRetention = 10 * time.Second
 )
 
-// Reporter reads the report of an engine. engine.Engines implements it.
+// Reporter fetches the status report of an engine. engine.Engines implements it.
 type Reporter interface {
 	Report(ctx context.Context, target upstream.Target) (engine.Report, error)
 }
 
-// reports holds what engines have said of themselves when requests that found no owner asked them.
-type reports struct {
-	from Reporter
-	log  logrus.FieldLogger
-	// calls lets requests share the reading of a report.
-	calls singleflight.Group
+// reportCache holds status reports of engines, fetched for requests that found no reachable owner. It is safe
+// for concurrent use.
+type reportCache struct {
+	source Reporter
+	log    logrus.FieldLogger
+	// inFlight lets concurrent requests share the fetch of a report.
+	inFlight singleflight.Group
 
-	mu    sync.Mutex
-	known map[roster.Incarnation]reading // guarded by mu
+	mu     sync.Mutex
+	cached map[roster.Incarnation]cachedReport // guarded by mu
 }
 
-// reading is the outcome of the last reading of a report.
-type reading struct {
-	at time.Time
-	ok bool
+// cachedReport is the result of the last fetch of a report; ok is false if it failed.
+type cachedReport struct {
+	fetchedAt time.Time
+	ok        bool
 	engine.Report
 }
 
-func newReports(from Reporter, log logrus.FieldLogger) *reports {
-	return &reports{from: from, log: log, known: map[roster.Incarnation]reading{}}
+func newReportCache(source Reporter, log logrus.FieldLogger) *reportCache {
+	return &reportCache{source: source, log: log, cached: map[roster.Incarnation]cachedReport{}}
 }
 
-// of returns the report of an engine, which is at most reportLife old. It reports false if there is none.
-func (r *reports) of(ctx context.Context, e roster.Endpoint) (engine.Report, bool) {
+// get returns the report of an engine, fetched at most reportTTL ago. It reports false if there is none.
+func (r *reportCache) get(ctx context.Context, e roster.Endpoint) (engine.Report, bool) {
 	r.mu.Lock()
-	last, known := r.known[e.Incarnation]
+	last, known := r.cached[e.Incarnation]
 	r.mu.Unlock()
-	if !known || time.Since(last.at) >= reportLife {
-		// Other requests wait for the same report: it is read to its end also if this one's caller leaves.
+	if !known || time.Since(last.fetchedAt) >= reportTTL {
+		// Other requests wait for the same report: the fetch must go on even if this request's caller leaves.
 		ctx := context.WithoutCancel(ctx)
 		key := fmt.Sprintf("%s/%d", e.ID, e.Started)
-		shared, _, _ := r.calls.Do(key, func() (any, error) { return r.read(ctx, e), nil })
-		last = shared.(reading)
+		shared, _, _ := r.inFlight.Do(key, func() (any, error) { return r.fetch(ctx, e), nil })
+		last = shared.(cachedReport)
 	}
 	return last.Report, last.ok
 }
 
-// read reads an engine's report and keeps it.
-func (r *reports) read(ctx context.Context, e roster.Endpoint) reading {
+// fetch fetches an engine's report and caches the result.
+func (r *reportCache) fetch(ctx context.Context, e roster.Endpoint) cachedReport {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	report, err := r.from.Report(ctx, upstream.Target{ID: e.ID, Started: e.Started, Address: e.Address})
+	report, err := r.source.Report(ctx, upstream.Target{ID: e.ID, Started: e.Started, Address: e.Address})
 	if err == nil && report.Incarnation != e.Incarnation {
-		err = errors.Errorf("another process has answered, started at %d", report.Started)
+		err = errors.Errorf("report is from another incarnation of the engine, started at %d", report.Started)
 	}
 	if err != nil {
-		r.log.WithError(err).WithFields(logrus.Fields{"event": "report_lost", "endpoint": e.ID, "started": e.Started}).Warn()
+		r.log.WithError(err).WithFields(logrus.Fields{"event": "report_lost", "endpoint": e.ID, "started": e.Started}).Warn("could not fetch engine report")
 	}
-	last := reading{at: time.Now(), ok: err == nil, Report: report}
+	last := cachedReport{fetchedAt: time.Now(), ok: err == nil, Report: report}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.known[e.Incarnation] = last
+	r.cached[e.Incarnation] = last
 	return last
 }
 
-// sweep forgets old reports.
-func (r *reports) sweep(now time.Time) {
+// sweep discards old reports.
+func (r *reportCache) sweep(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.known, func(_ roster.Incarnation, last reading) bool { return now.Sub(last.at) > reportSweep })
+	maps.DeleteFunc(r.cached, func(_ roster.Incarnation, last cachedReport) bool { return now.Sub(last.fetchedAt) > reportRetention })
 }
 
-// holder is an engine that holds an adapter, by its own report.
+// holder is an engine whose report lists an adapter.
 type holder struct {
 	endpoint roster.Endpoint
 	version  int
-	// busy are the requests at the engine.
-	busy int
+	// requests is the number of requests queued or running at the engine.
+	requests int
 }
 
-// holders returns those of the engines that hold the adapter in that version or a newer one.
-func (r *reports) holders(ctx context.Context, engines []roster.Endpoint, key residency.Key, version int) []holder {
+// holders returns those of the engines that hold the adapter in the given version or a newer one.
+func (r *reportCache) holders(ctx context.Context, engines []roster.Endpoint, key residency.Key, version int) []holder {
 	found := make([]*holder, len(engines))
-	var asking sync.WaitGroup
+	var fetches sync.WaitGroup
 	for i, e := range engines {
-		asking.Go(func() {
-			if report, ok := r.of(ctx, e); ok {
-				found[i] = holds(report, e, key, version)
+		fetches.Go(func() {
+			if report, ok := r.get(ctx, e); ok {
+				found[i] = holderFrom(report, e, key, version)
 			}
 		})
 	}
-	asking.Wait()
+	fetches.Wait()
 	var list []holder
 	for _, h := range found {
 		if h != nil {
@@ -122,11 +123,11 @@
 	return list
 }
 
-// holds returns the engine as a holder of the adapter; nil if by its report it is none.
-func holds(report engine.Report, e roster.Endpoint, key residency.Key, version int) *holder {
+// holderFrom returns the engine as a holder of the adapter; nil if its report does not list the adapter.
+func holderFrom(report engine.Report, e roster.Endpoint, key residency.Key, version int) *holder {
 	for _, a := range report.Loaded {
 		if residency.KeyOf(a) == key && a.Version >= version {
-			return &holder{endpoint: e, version: a.Version, busy: report.Queued + report.Running}
+			return &holder{endpoint: e, version: a.Version, requests: report.Queued + report.Running}
 		}
 	}
 	return nil
--- a/pkg/dispatch/service.go
+++ b/pkg/dispatch/service.go
@@ -6,13 +6,13 @@
 	"github.com/mallowlink/mallowlink/pkg/roster"
 )
 
-// distancePenalty makes an endpoint in another failure domain seem as much slower: bytes between
-// failure domains are dear, and a request of a few milliseconds feels the way.
+// distancePenalty is the factor on the expected latency of endpoints in another failure domain: traffic between
+// failure domains is expensive, and the longer path matters for requests of a few milliseconds.
 const distancePenalty = 1.25
 
-// pickService returns the candidate with the least expected time, among equals the one that random
-// selects. It returns that time, too.
-func (s *conditions) pickService(candidates []roster.Endpoint, domain string, random func(n int) int) (roster.Endpoint, time.Duration) {
+// pickService returns the candidate with the lowest expected latency, and that latency. Ties are broken at
+// random; random returns a number below n.
+func (s *healthTracker) pickService(candidates []roster.Endpoint, domain string, random func(n int) int) (roster.Endpoint, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var best roster.Endpoint
--- a/pkg/gateway/call.go
+++ b/pkg/gateway/call.go
@@ -75,7 +75,7 @@
 	// struck is the run of an endpoint that may have ended under the request; nil once that is decided.
 	struck *roster.Incarnation
 
-	place  Place
+	place  Placement
 	answer *upstream.Answer
 	sentAt time.Time
 	// headAt is when the head of the answer arrived; zero before.
@@ -315,10 +315,10 @@
 	return eventPlace
 }
 
-func (c *call) work() Work {
-	return Work{
+func (c *call) work() Request {
+	return Request{
 		ID: c.terms.ID, Group: c.group, Route: c.route, Account: c.account, Terms: c.terms,
-		Urgency: c.urgency, Excess: c.charge.Excess, Arrived: c.arrived, Deadline: c.deadline, Exclude: c.exclude,
+		Urgency: c.urgency, OverLimit: c.charge.Excess, Arrived: c.arrived, Deadline: c.deadline, Exclude: c.exclude,
 	}
 }
 
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -30,8 +30,8 @@
 // NewRules returns the rules of a bundle.
 func NewRules(b *bundle.Bundle) *Rules { return &Rules{Bundle: b, Routes: route.NewTable(b)} }
 
-// Work describes a request to the dispatcher.
-type Work struct {
+// Request describes a request to the dispatcher.
+type Request struct {
 	ID      string
 	Group   bundle.Group
 	Route   bundle.Route
@@ -39,10 +39,10 @@
 	Terms   dialect.Terms
 	// Urgency ranks the request; 0 is first.
 	Urgency int
-	// Excess says that the account is beyond its limit, within what is tolerated: the request yields to
+	// OverLimit says that the account is beyond its limit, within what is tolerated: the request yields to
 	// all others.
-	Excess  bool
-	Arrived time.Time
+	OverLimit bool
+	Arrived   time.Time
 	// Deadline is when the answer is of no more use.
 	Deadline time.Time
 	// Exclude lists the endpoints that have failed this request.
@@ -53,22 +53,22 @@
 type Outcome struct {
 	// Unreachable says that no connection could be made.
 	Unreachable bool
-	// Rejected says that the endpoint did not run the request, NotLoaded that it did not hold the
+	// Rejected says that the endpoint did not run the request, AdapterMissing that it did not hold the
 	// adapter.
-	Rejected  bool
-	NotLoaded bool
+	Rejected       bool
+	AdapterMissing bool
 	// Pause is how long the endpoint wants no further requests from this VM.
 	Pause time.Duration
 	// Failed says that the endpoint failed the request: no answer, a broken one, or an error status.
 	Failed bool
-	// Cut says that the caller left or its time ended first: nothing is known of the endpoint.
-	Cut bool
-	// First is the time from sending to the first part of the answer; 0 if there was none.
-	First time.Duration
+	// Canceled says that the caller left or its time ended first: nothing is known of the endpoint.
+	Canceled bool
+	// FirstByte is the time from sending to the first part of the answer; 0 if there was none.
+	FirstByte time.Duration
 }
 
-// Place is an endpoint that a request may be sent to.
-type Place struct {
+// Placement is an endpoint that a request may be sent to.
+type Placement struct {
 	Endpoint roster.Endpoint
 	// AdapterVersion is the version to ask for; 0 for any.
 	AdapterVersion int
@@ -83,9 +83,9 @@
 
 // Dispatcher chooses endpoints.
 type Dispatcher interface {
-	// Place returns an endpoint for the request, which may take as long as an adapter takes to load.
+	// Placement returns an endpoint for the request, which may take as long as an adapter takes to load.
 	// The error is a *result.Error of outcome not-run.
-	Place(ctx context.Context, w Work) (Place, error)
+	Place(ctx context.Context, w Request) (Placement, error)
 }
 
 // Admitter holds client accounts to their limits.
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -79,11 +79,11 @@
 	refuse   *result.Error
 }
 
-func (p *fixedPlaces) Place(_ context.Context, w Work) (Place, error) {
+func (p *fixedPlaces) Place(_ context.Context, w Request) (Placement, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.refuse != nil {
-		return Place{}, p.refuse
+		return Placement{}, p.refuse
 	}
 	for _, e := range p.endpoints {
 		excluded := false
@@ -96,14 +96,14 @@
 				defer p.mu.Unlock()
 				p.progress++
 			}
-			return Place{Endpoint: e, Progress: progress, Done: func(o Outcome) {
+			return Placement{Endpoint: e, Progress: progress, Done: func(o Outcome) {
 				p.mu.Lock()
 				defer p.mu.Unlock()
 				p.outcomes = append(p.outcomes, o)
 			}}, nil
 		}
 	}
-	return Place{}, result.New(result.NoEndpoint, "no endpoint is left")
+	return Placement{}, result.New(result.NoEndpoint, "no endpoint is left")
 }
 
 // tokens is an Admitter with a fixed stock.
--- a/pkg/gateway/pass.go
+++ b/pkg/gateway/pass.go
@@ -84,7 +84,7 @@
 	if failed {
 		c.logAttempt("failed", errors.Errorf("status %d", answer.status))
 	}
-	c.drop(Outcome{Failed: failed, First: c.first, Pause: c.pause()})
+	c.drop(Outcome{Failed: failed, FirstByte: c.first, Pause: c.pause()})
 	if failed && c.route.Idempotent {
 		if event := c.repeat(nil); event == eventAgain {
 			c.spare = answer
@@ -111,7 +111,7 @@
 		return c.cutShort(err)
 	}
 	c.noteServed()
-	c.drop(Outcome{First: c.first})
+	c.drop(Outcome{FirstByte: c.first})
 	return eventDone
 }
 
@@ -188,7 +188,7 @@
 		_, _ = c.w.Write(rest)
 	}
 	c.noteServed()
-	c.drop(Outcome{First: c.first})
+	c.drop(Outcome{FirstByte: c.first})
 	return eventDone
 }
 
@@ -196,11 +196,11 @@
 func (c *call) cutShort(err error) chart.Event {
 	c.logAttempt("cut_short", err)
 	if c.ctx.Err() != nil {
-		c.drop(Outcome{Cut: true})
+		c.drop(Outcome{Canceled: true})
 		return c.interrupted()
 	}
 	c.noteEnd(err)
-	c.drop(Outcome{Failed: true, First: c.first})
+	c.drop(Outcome{Failed: true, FirstByte: c.first})
 	broken := result.New(result.AnswerCut, "the endpoint's answer broke off")
 	if c.relay.begun && !c.route.Resumable {
 		return c.fail(broken)
@@ -216,7 +216,7 @@
 
 // callerLeft handles a caller that takes no more of the answer.
 func (c *call) callerLeft() chart.Event {
-	c.drop(Outcome{Cut: true, First: c.first})
+	c.drop(Outcome{Canceled: true, FirstByte: c.first})
 	return c.fail(result.New(result.CallerGone, "the caller closed the connection"))
 }
 
--- a/pkg/gateway/send.go
+++ b/pkg/gateway/send.go
@@ -17,7 +17,7 @@
 // send sends the request to its endpoint and waits for the head of the answer.
 func (c *call) send() chart.Event {
 	if e := c.over(); e != nil {
-		c.leave(Outcome{Cut: true})
+		c.leave(Outcome{Canceled: true})
 		return c.refuse(e)
 	}
 	c.sentAt, c.headAt = time.Now(), time.Time{}
@@ -75,7 +75,7 @@
 	}
 	if c.ctx.Err() != nil {
 		c.logAttempt("cut", context.Cause(c.ctx))
-		c.leave(Outcome{Cut: true})
+		c.leave(Outcome{Canceled: true})
 		return c.interrupted()
 	}
 	if failed != nil && !failed.Sent {
@@ -93,7 +93,7 @@
 func (c *call) rejected() chart.Event {
 	missing := c.answer.Verdict.Misdirected
 	c.logAttempt("rejected", errors.Errorf("status %d", c.answer.Status))
-	c.drop(Outcome{Rejected: true, NotLoaded: missing, Pause: c.pause()})
+	c.drop(Outcome{Rejected: true, AdapterMissing: missing, Pause: c.pause()})
 	return c.another(result.New(result.QueueFull, "the endpoints are full"), true)
 }
 
--- a/pkg/gateway/suspects.go
+++ b/pkg/gateway/suspects.go
@@ -75,12 +75,12 @@
 
 // askPlace asks the dispatcher for an endpoint. A suspect goes to one at which no other suspect runs, if there soon is one:
 // it must not be taken for what the other one does.
-func (c *call) askPlace(ctx context.Context) (Place, error) {
+func (c *call) askPlace(ctx context.Context) (Placement, error) {
 	begun := time.Now()
 	for {
 		avoid, e := c.isolate()
 		if e != nil {
-			return Place{}, e
+			return Placement{}, e
 		}
 		w := c.work()
 		if time.Since(begun) >= isolationWait {
@@ -95,7 +95,7 @@
 		if err != nil || !c.suspected || c.g.cfg.Suspects.Started(c.fingerprint(), place.Endpoint.ID) {
 			return place, err
 		}
-		place.Done(Outcome{Cut: true})
+		place.Done(Outcome{Canceled: true})
 	}
 }
 
