--- a/pkg/gateway/call.go
+++ b/pkg/gateway/call.go
@@ -23,114 +23,120 @@
 )
 
 const (
-	// defaultPatience bounds a request whose caller and route name no time.
-	defaultPatience = 30 * time.Second
-	// answerMargin is how long before a request's time is over it gets its final answer, for the way
-	// back to the caller.
-	answerMargin = 10 * time.Millisecond
-	// minUseful is the least time that is worth sending a request with.
-	minUseful = 20 * time.Millisecond
-	// maxRejections bounds the endpoints that may reject a request, or be found unreachable, before it
-	// is refused.
+	// defaultTimeLimit applies to requests if neither the caller nor the route states a time limit.
+	defaultTimeLimit = 30 * time.Second
+	// responseMargin is how long before its deadline a request gets its final response, to leave time for the
+	// way back to the caller.
+	responseMargin = 10 * time.Millisecond
+	// minUsefulTime is the least remaining time with which it is worth sending a request.
+	minUsefulTime = 20 * time.Millisecond
+	// maxRejections is the number of endpoints that may reject a request, or be found unreachable, before the
+	// request is refused.
 	maxRejections = 4
-	// comeBack is when a caller should come back if nothing better is known.
-	comeBack = time.Second
+	// defaultRetryAfter is the Retry-After of a refused request if no better time is known.
+	defaultRetryAfter = time.Second
 )
 
-// errTimeOver is why a request's context ends when its time is over.
-var errTimeOver = errors.New("the request's time is over")
+// errTimeLimit is the cause with which a request's context ends at its deadline.
+var errTimeLimit = errors.New("request time limit exceeded")
 
-// call is one request on its way through the chart. It belongs to the goroutine that serves it.
+// call is one request on its way through the states of call.chart. It belongs to the goroutine that serves the
+// request and is not safe for concurrent use.
 type call struct {
-	g       *Gateway
-	w       http.ResponseWriter
-	r       *http.Request
-	machine *chart.Machine
-	arrived time.Time
+	g            *Gateway
+	w            http.ResponseWriter
+	r            *http.Request
+	stateMachine *chart.Machine
+	arrived      time.Time
 
 	ctx      context.Context
 	cancel   context.CancelFunc
 	deadline time.Time
-	// limit is the time that the request has from its arrival; 0 before it is known.
-	limit time.Duration
+	// timeLimit is the time that the request has from its arrival; 0 before it is known.
+	timeLimit time.Duration
 
-	// version is that of the configuration that the request is handled by.
-	version uint64
-	route   bundle.Route
-	group   bundle.Group
-	terms   dialect.Terms
-	account string
-	// cost is what the request costs its account, charge what it has paid.
+	// configVersion is the version of the configuration by which the request is handled.
+	configVersion uint64
+	route         bundle.Route
+	group         bundle.Group
+	terms         dialect.Terms
+	account       string
+	// cost is what the request costs its account in tokens, charge what has been spent.
 	cost   int64
 	charge allowance.Charge
 	// urgency ranks the request; 0 is first.
 	urgency int
 	body    []byte
-	// held is the memory that the request has taken, in bytes.
-	held int64
-	// identity is the request's fingerprint, 0 until it has been computed.
-	identity uint64
+	// heldMemory is the memory that the request has taken from the budget, in bytes.
+	heldMemory int64
+	// cachedFingerprint is the request's fingerprint; 0 until it has been computed.
+	cachedFingerprint uint64
 	// suspected says that the request is counted as a suspect at its endpoint.
 	suspected bool
-	// struck is the run of an endpoint that may have ended under the request; nil once that is decided.
-	struck *roster.Incarnation
+	// maybeCrashed is the incarnation of an endpoint that may have crashed while it ran the request; nil if
+	// there is none or once that is decided.
+	maybeCrashed *roster.Incarnation
 
-	place  Placement
-	answer *upstream.Answer
-	sentAt time.Time
-	// headAt is when the head of the answer arrived; zero before.
+	placement Placement
+	response  *upstream.Answer
+	sentAt    time.Time
+	// headAt is when the head of the response arrived; zero before.
 	headAt time.Time
 	// runs counts the endpoints that may have run the request, rejections those that have not.
 	runs, rejections int
-	exclude          []string
-	waited           time.Duration
-	first            time.Duration
-	// progressAt is when the endpoint was last noted to go on with the answer.
-	progressAt time.Time
-	// spare is an endpoint's error answer, passed on if no other endpoint gives a better one.
-	spare *stored
+	// exclude lists the endpoints that must not get the request again.
+	exclude []string
+	// waited is the time spent waiting for placements, firstByte the time from arrival to the first part of the
+	// response.
+	waited    time.Duration
+	firstByte time.Duration
+	// lastProgress is when the dispatcher was last told that the response goes on.
+	lastProgress time.Time
+	// fallback is an endpoint's error response, which the caller gets if no other endpoint gives a better one.
+	fallback *bufferedResponse
+	// relay is how much of the response has been passed on.
 	relay relay
-	// failure is why the request was not answered.
+	// failure is why the request failed or was refused.
 	failure *result.Error
 }
 
-// stored is an answer read in whole.
-type stored struct {
+// bufferedResponse is a response that has been read completely.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
 func newCall(g *Gateway, w http.ResponseWriter, r *http.Request) *call {
-	return &call{g: g, w: w, r: r, machine: chart.NewMachine(callChart), arrived: time.Now()}
+	return &call{g: g, w: w, r: r, stateMachine: chart.NewMachine(callChart), arrived: time.Now()}
 }
 
-// steps are the steps of the states that are not final.
+// steps maps the states that are not final to their steps.
 var steps = map[chart.State]func(*call) chart.Event{
 	stateReceived:   (*call).authorize,
 	stateAuthorized: (*call).admit,
-	stateAdmitted:   (*call).choose,
+	stateAdmitted:   (*call).chooseEndpoint,
 	statePlaced:     (*call).send,
-	stateAnswering:  (*call).pass,
+	stateAnswering:  (*call).passResponse,
 }
 
-// run drives the call to a final state and answers the caller.
+// run drives the call to a final state and completes the response.
 func (c *call) run() {
 	c.g.meters.requests.Inc(1)
 	defer func() {
 		if c.cancel != nil {
 			c.cancel()
 		}
-		c.g.cfg.Memory.Give(c.held)
+		c.g.cfg.Memory.Give(c.heldMemory)
 	}()
 	for {
-		step, ok := steps[c.machine.State()]
+		step, ok := steps[c.stateMachine.State()]
 		if !ok {
 			break
 		}
 		event := step(c)
-		if err := c.machine.Fire(event); err != nil {
-			c.g.cfg.Log.WithError(err).WithField("event", "call_event_rejected").Error()
+		if err := c.stateMachine.Fire(event); err != nil {
+			c.g.cfg.Log.WithError(err).WithField("event", "call_event_rejected").Error("state machine rejected the event of a step")
 			c.failure = result.New(result.Internal, "internal error")
 			break
 		}
@@ -144,12 +150,13 @@
 		return c.fail(result.New(result.EndpointFailed, "no other endpoint could take the request: "+e.Detail))
 	}
 	if e.RetryAfter == 0 && (e.Code.Info().Status == http.StatusServiceUnavailable || e.Code.Info().Status == http.StatusTooManyRequests) {
-		e.RetryAfter = comeBack
+		e.RetryAfter = defaultRetryAfter
 	}
 	c.failure = e
 	return eventRefuse
 }
 
+// fail ends the call as failed: the request has run, or may have.
 func (c *call) fail(e *result.Error) chart.Event {
 	c.failure = e
 	return eventFail
@@ -161,7 +168,7 @@
 	if rules == nil {
 		return c.refuse(result.New(result.NoBundle, "this VM has no configuration yet"))
 	}
-	c.version = rules.Bundle.Version
+	c.configVersion = rules.Bundle.Version
 	var ok bool
 	if c.route, ok = rules.Routes.Match(c.r.Host, c.r.URL.Path); !ok {
 		return c.refuse(result.New(result.UnknownRoute, "no route has this host and path"))
@@ -222,30 +229,31 @@
 	return account.CallCost
 }
 
-// setDeadline starts the request's clock. Requests that must not run twice go on at their endpoint
-// after the caller has left, so that their account of them stays true.
+// setDeadline sets the request's deadline and context. A request that must not run twice goes on at its
+// endpoint after the caller has left, so that the endpoint's record of it stays true.
 func (c *call) setDeadline() {
-	c.limit = defaultPatience
+	c.timeLimit = defaultTimeLimit
 	if c.route.Timeout > 0 {
-		c.limit = c.route.Timeout
+		c.timeLimit = c.route.Timeout
 	}
 	if c.terms.Patience > 0 {
-		c.limit = min(c.limit, c.terms.Patience)
+		c.timeLimit = min(c.timeLimit, c.terms.Patience)
 	}
-	c.deadline = c.arrived.Add(c.limit)
+	c.deadline = c.arrived.Add(c.timeLimit)
 	parent := c.r.Context()
-	if !c.cancellable() {
+	if !c.cancelable() {
 		parent = context.WithoutCancel(parent)
 	}
-	c.ctx, c.cancel = context.WithDeadlineCause(parent, c.deadline.Add(-answerMargin), errTimeOver)
+	c.ctx, c.cancel = context.WithDeadlineCause(parent, c.deadline.Add(-responseMargin), errTimeLimit)
 }
 
-// cancellable reports whether the endpoint may drop the request when the caller leaves.
-func (c *call) cancellable() bool { return c.route.Idempotent || c.route.Stream }
+// cancelable reports whether the endpoint may drop the request when the caller leaves.
+func (c *call) cancelable() bool { return c.route.Idempotent || c.route.Stream }
 
-// repeatable reports whether the request may be sent again after it may have run.
+// repeatable reports whether the request may be sent again after an endpoint may have run it.
 func (c *call) repeatable() bool { return c.route.Idempotent || c.route.Resumable }
 
+// readBody reads the request body within the size limit, the memory budget and the deadline.
 func (c *call) readBody(limit int64) *result.Error {
 	if limit > 0 && c.r.ContentLength > limit {
 		return result.New(result.BodyTooLarge, "the body is larger than the limit")
@@ -253,13 +261,13 @@
 	if c.r.Body == nil || c.r.Body == http.NoBody {
 		return nil
 	}
-	// A connection without deadlines is a test's recorder.
+	// Only the response recorders of tests do not support deadlines.
 	control := http.NewResponseController(c.w)
 	_ = control.SetReadDeadline(c.deadline)
 	var held int64
 	var err error
 	c.body, held, err = c.g.cfg.Memory.ReadAll(c.r.Body, c.r.ContentLength, limit)
-	c.held += held
+	c.heldMemory += held
 	_ = control.SetReadDeadline(time.Time{})
 	if err == nil {
 		return nil
@@ -297,74 +305,78 @@
 	return result.New(result.Internal, err.Error())
 }
 
-// choose asks the dispatcher for an endpoint.
-func (c *call) choose() chart.Event {
-	if e := c.over(); e != nil {
+// chooseEndpoint gets a placement from the dispatcher.
+func (c *call) chooseEndpoint() chart.Event {
+	if e := c.abortReason(); e != nil {
 		return c.refuse(e)
 	}
-	begun := time.Now()
-	place, err := c.askPlace(c.ctx)
-	c.waited += time.Since(begun)
+	began := time.Now()
+	placement, err := c.requestPlacement(c.ctx)
+	c.waited += time.Since(began)
 	if err != nil {
-		if e := c.over(); e != nil {
+		if e := c.abortReason(); e != nil {
 			return c.refuse(e)
 		}
 		return c.refuse(asResult(err))
 	}
-	c.place = place
+	c.placement = placement
 	return eventPlace
 }
 
-func (c *call) work() Request {
+// dispatchRequest returns the description of the request for the dispatcher.
+func (c *call) dispatchRequest() Request {
 	return Request{
 		ID: c.terms.ID, Group: c.group, Route: c.route, Account: c.account, Terms: c.terms,
 		Urgency: c.urgency, OverLimit: c.charge.Excess, Arrived: c.arrived, Deadline: c.deadline, Exclude: c.exclude,
 	}
 }
 
-// fingerprint identifies equal requests of one client account. It is computed only where it is needed, as its cost grows
-// with the body.
+// fingerprint identifies equal requests of one client account. It is computed only when needed, because its
+// cost grows with the body.
 func (c *call) fingerprint() uint64 {
-	if c.identity == 0 {
-		c.identity = suspect.Fingerprint(c.account, suspect.Hash(c.r.Method, c.r.RequestURI, c.body))
+	if c.cachedFingerprint == 0 {
+		c.cachedFingerprint = suspect.Fingerprint(c.account, suspect.Hash(c.r.Method, c.r.RequestURI, c.body))
 	}
-	return c.identity
+	return c.cachedFingerprint
 }
 
-// over returns why the call must end before it is sent: its caller has left or its time is over.
-func (c *call) over() *result.Error {
-	if c.ctx.Err() != nil && !errors.Is(context.Cause(c.ctx), errTimeOver) {
+// abortReason returns why the call must end before it is sent: its caller has left or its time is up; nil if it
+// may go on.
+func (c *call) abortReason() *result.Error {
+	if c.ctx.Err() != nil && !errors.Is(context.Cause(c.ctx), errTimeLimit) {
 		e := result.New(result.CallerGone, "the caller closed the connection")
 		e.Outcome = result.NotRun
 		return e
 	}
-	if time.Until(c.deadline) < minUseful {
+	if time.Until(c.deadline) < minUsefulTime {
 		return result.New(result.DeadlineTooNear, "the time left is too short to run the request")
 	}
 	return nil
 }
 
-// finish answers the caller unless the answer is on its way, and settles the account.
+// finish responds to the caller unless a response is on its way, and returns the tokens of a request that has
+// not run.
 func (c *call) finish() {
-	state := c.machine.State()
+	state := c.stateMachine.State()
 	if c.charge.Tokens > 0 && c.runs == 0 && state != stateAnswered {
 		c.g.cfg.Quota.Return(c.charge)
 	}
-	c.count(state)
+	c.recordMetrics(state)
 	c.logEnd(state)
 	switch {
 	case state == stateAnswered:
-	case c.relay.begun:
-		// The answer is not whole. Closing the connection tells the caller so.
+	case c.relay.headSent:
+		// The response is incomplete. Closing the connection tells the caller so.
 		panic(http.ErrAbortHandler)
-	case c.spare != nil:
-		c.deliver(c.spare)
+	case c.fallback != nil:
+		c.writeBuffered(c.fallback)
 	case c.failure != nil:
 		writeError(c.w, c.failure)
 	}
 }
 
-func (c *call) count(state chart.State) {
+// recordMetrics updates the metrics for a call that has ended.
+func (c *call) recordMetrics(state chart.State) {
 	m := &c.g.meters
 	switch state {
 	case stateAnswered:
@@ -375,7 +387,7 @@
 		m.failed.Inc(1)
 	}
 	observe(m.wait, c.waited)
-	if c.first > 0 {
-		observe(m.first, c.first)
+	if c.firstByte > 0 {
+		observe(m.first, c.firstByte)
 	}
 }
--- a/pkg/gateway/chart.go
+++ b/pkg/gateway/chart.go
@@ -42,5 +42,5 @@
 	},
 )
 
-// Charts returns the package's charts.
+// Charts returns the package's state charts.
 func Charts() []*chart.Chart { return []*chart.Chart{callChart} }
--- a/pkg/gateway/endless_test.go
+++ b/pkg/gateway/endless_test.go
@@ -13,7 +13,7 @@
 	"github.com/mallowlink/mallowlink/pkg/result"
 )
 
-// pour writes text again and again until the caller closes.
+// pour writes text again and again until the gateway closes the connection.
 func pour(w io.Writer, text string) {
 	for chunk := []byte(strings.Repeat(text, 1+4096/len(text))); ; {
 		if _, err := w.Write(chunk); err != nil {
@@ -22,7 +22,7 @@
 	}
 }
 
-// raw answers with bytes of its own, and then with text without end.
+// raw responds with the bytes of head, and then with text without end.
 func raw(head, text string) handler {
 	return func(w http.ResponseWriter, r *http.Request) {
 		c, out, err := w.(http.Hijacker).Hijack()
@@ -37,13 +37,14 @@
 
 const okHead = "HTTP/1.1 200 OK\r\nId: ID\r\nSignature: s\r\n"
 
-// Bytes that are no answer, without end, are given up on: the endpoint has failed, its connection is closed, the request
-// ends as its route allows, and the caller gets none of the bytes.
-func TestAnswersWithoutEnd(t *testing.T) {
+// Endless bytes that are not a valid response must neither be forwarded nor tie up the gateway: the endpoint
+// has failed, its connection is closed, the request ends as its route allows, and the caller gets none of the
+// bytes.
+func TestEndlessResponsesFail(t *testing.T) {
 	const mark = "junk"
 	for name, endless := range map[string]handler{
 		"status line": raw("HTTP/1.1 200 ", mark),
-		"no answer":   raw("", mark),
+		"no response": raw("", mark),
 		"field":       raw(okHead+"X: ", mark),
 		"fields":      raw(okHead, "X: "+mark+"\r\n"),
 		"event":       raw(okHead+"Transfer-Encoding: chunked\r\n\r\n", "4\r\n"+mark+"\r\n"),
@@ -53,12 +54,12 @@
 			if strings.Contains(name, "event") && path == "/safe/" {
 				continue
 			}
-			b := newBench(t, endless, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "id: 1\n\n") })
+			b := newTestbed(t, endless, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "id: 1\n\n") })
 			a := b.do(path, nil, "")
 			require.NotContains(t, a.body, mark, "%s %s", name, path)
-			require.True(t, b.places.outcomes[0].Failed, "%s %s", name, path)
+			require.True(t, b.dispatcher.outcomes[0].Failed, "%s %s", name, path)
 			if path == "/stream/" {
-				require.Equal(t, 502, a.status, "%s: it may have run", name)
+				require.Equal(t, 502, a.status, "%s: the request may have run", name)
 			} else {
 				require.Equal(t, "id: 1\n\n", a.body, "%s %s", name, path)
 			}
@@ -67,28 +68,28 @@
 	}
 }
 
-// Of a body whose length is not stated and that does not end the caller gets nothing either.
-func TestBodiesWithoutEndAreNoAnswers(t *testing.T) {
+// The caller gets nothing of a body without a stated length that does not end.
+func TestEndlessBodiesAreNotPassedOn(t *testing.T) {
 	for body, head := range map[string]string{
 		"junk": okHead + "\r\n",
 		"2000\r\n" + strings.Repeat("junk", 2048) + "\r\n": okHead + "Transfer-Encoding: chunked\r\n\r\n",
 	} {
-		b := newBench(t, raw(head, body), say("whole"))
+		b := newTestbed(t, raw(head, body), respondWith("whole"))
 		b.memory.SetLimit(64 << 20)
 		a := b.do("/unsafe/", nil, "")
 		require.Equal(t, 502, a.status)
 		require.NotContains(t, a.body, "junk")
 		require.Equal(t, "whole", b.do("/safe/", nil, "").body)
-		require.True(t, b.places.outcomes[0].Failed)
+		require.True(t, b.dispatcher.outcomes[0].Failed)
 		require.Zero(t, b.memory.Used())
 	}
 }
 
-// Where there is no memory to hold an answer, it is passed on as it arrives; where there is none for a request's body, the
-// request is refused, and for an event, the stream breaks.
-func TestTheMemoryOfBodiesAndAnswersIsBounded(t *testing.T) {
+// When there is no memory to buffer a response, it is passed on as it arrives. When there is none for a request
+// body, the request is refused; when there is none for an event, the stream breaks off.
+func TestMemoryForBodiesAndResponsesIsBounded(t *testing.T) {
 	long := strings.Repeat("x", 50_000)
-	b := newBench(t, func(w http.ResponseWriter, _ *http.Request) {
+	b := newTestbed(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", strconv.Itoa(len(long)))
 		_, _ = io.WriteString(w, long)
 	})
@@ -101,7 +102,7 @@
 	require.NotEmpty(t, a.header.Get("Retry-After"))
 	require.Zero(t, b.memory.Used())
 
-	b = newBench(t, say("data: "+long+"\n\n"))
+	b = newTestbed(t, respondWith("data: "+long+"\n\n"))
 	require.Equal(t, 8+len(long), len(b.do("/stream/", nil, "").body))
 	b.memory.SetLimit(8000)
 	a = b.do("/stream/", nil, "")
--- a/pkg/gateway/errors.go
+++ b/pkg/gateway/errors.go
@@ -13,13 +13,13 @@
 	"github.com/mallowlink/mallowlink/pkg/upstream"
 )
 
-// Header fields of mallowlink's own on answers that no endpoint has given.
+// Header fields of responses that mallowlink itself generates instead of an endpoint.
 const (
 	headerCode    = "X-Mallowlink-Code"
 	headerOutcome = "X-Mallowlink-Outcome"
 )
 
-// errorBody is the body of an answer that no endpoint has given.
+// errorBody is the body of a response that mallowlink itself generates.
 type errorBody struct {
 	Code    result.Code    `json:"code"`
 	Name    string         `json:"name"`
@@ -27,8 +27,8 @@
 	Detail  string         `json:"detail"`
 }
 
-// statusOf returns the status of an error. The statuses that promise that the request has not run are
-// only given to requests that have not.
+// statusOf returns the HTTP status for an error. Statuses that promise that the request has not run are only
+// given to requests that have not.
 func statusOf(e *result.Error) int {
 	status := e.Code.Info().Status
 	if e.Outcome == result.NotRun {
@@ -41,7 +41,7 @@
 	return status
 }
 
-// writeError answers with an error.
+// writeError responds with an error.
 func writeError(w http.ResponseWriter, e *result.Error) {
 	body, err := json.Marshal(errorBody{Code: e.Code, Name: e.Code.Name(), Outcome: e.Outcome, Detail: e.Detail})
 	if err != nil {
@@ -59,40 +59,41 @@
 	_, _ = w.Write(body)
 }
 
-// logEnd writes the line of a request that has ended.
+// logEnd logs the end of a request.
 func (c *call) logEnd(state chart.State) {
 	fields := logrus.Fields{
 		"event": "request", "id": c.terms.ID, "end": state, "route": c.route.Name, "account": c.account,
 		"adapter": c.terms.Adapter, "cost": c.cost, "excess": c.charge.Excess, "urgency": c.urgency,
-		"time_limit": c.limit, "took": time.Since(c.arrived).Round(time.Millisecond),
-		"waited": c.waited.Round(time.Millisecond), "first": c.first.Round(time.Millisecond),
+		"time_limit": c.timeLimit, "took": time.Since(c.arrived).Round(time.Millisecond),
+		"waited": c.waited.Round(time.Millisecond), "first": c.firstByte.Round(time.Millisecond),
 		"runs": c.runs, "rejections": c.rejections,
-		"config": c.version, "config_age": c.g.cfg.RulesAge().Round(time.Millisecond),
+		"config": c.configVersion, "config_age": c.g.cfg.RulesAge().Round(time.Millisecond),
 	}
-	if c.place.Endpoint.ID != "" {
-		fields["endpoint"] = c.place.Endpoint.ID
+	if c.placement.Endpoint.ID != "" {
+		fields["endpoint"] = c.placement.Endpoint.ID
 	}
 	entry := c.g.cfg.Log.WithFields(fields)
 	if c.failure == nil {
-		entry.Info()
+		entry.Info("request ended with the response of an endpoint")
 		return
 	}
 	entry.WithFields(logrus.Fields{
 		"code": int(c.failure.Code), "outcome": c.failure.Outcome, "cause": c.failure.Detail,
 		"retry_after": c.failure.RetryAfter.Round(time.Millisecond),
-	}).Warn()
+	}).Warn("request refused or failed")
 }
 
-// logAttempt writes the line of an endpoint that has not answered the request in full. If the connection has ended, it
-// names the request's fingerprint, by which equal requests are found.
+// logAttempt logs an attempt at an endpoint that was not successful: a missing or truncated response, an error
+// status or a rejection. If the endpoint closed or reset the connection, the line has the request's fingerprint,
+// by which equal requests can be found.
 func (c *call) logAttempt(result string, err error) {
 	entry := c.g.cfg.Log.WithError(err).WithFields(logrus.Fields{
-		"event": "attempt_ended", "id": c.terms.ID, "endpoint": c.place.Endpoint.ID, "started": c.place.Endpoint.Started,
-		"result": result, "after": time.Since(c.sentAt).Round(time.Millisecond), "runs": c.runs, "passed_on": c.relay.begun,
+		"event": "attempt_ended", "id": c.terms.ID, "endpoint": c.placement.Endpoint.ID, "started": c.placement.Endpoint.Started,
+		"result": result, "after": time.Since(c.sentAt).Round(time.Millisecond), "runs": c.runs, "passed_on": c.relay.headSent,
 	})
 	if upstream.Ended(err) {
 		c.g.meters.connectionsEnded.Inc(1)
 		entry = entry.WithField("fingerprint", strconv.FormatUint(c.fingerprint(), 16))
 	}
-	entry.Warn()
+	entry.Warn("attempt at endpoint not successful")
 }
--- a/pkg/gateway/events.go
+++ b/pkg/gateway/events.go
@@ -6,32 +6,32 @@
 	"github.com/go-faster/errors"
 )
 
-// eventEnd ends a server-sent event.
+// eventEnd terminates a server-sent event.
 var eventEnd = []byte("\n\n")
 
-// eventID precedes the number of an event.
-var eventID = []byte("id:")
+// eventIDField is the name of the field with an event's ID.
+var eventIDField = []byte("id:")
 
 // maxEvent bounds one event of a stream, in bytes. Events hold a few tokens.
 const maxEvent = 64 << 10
 
 var (
-	errEndlessEvent = errors.New("an event of the stream does not end")
-	errNoEvent      = errors.New("the stream holds something that is no event")
+	errEndlessEvent = errors.New("event of the stream exceeds the size limit")
+	errNotEvent     = errors.New("stream contains a line that is not part of an event")
 )
 
-// eventCutter cuts a stream of server-sent events into whole events.
-type eventCutter struct {
+// eventSplitter splits a stream of server-sent events into complete events. It is not safe for concurrent use.
+type eventSplitter struct {
 	// pending is the beginning of an event whose end has not arrived.
 	pending []byte
-	// last is the number of the last whole event.
-	last string
+	// lastID is the ID of the last complete event.
+	lastID string
 }
 
-// cut takes a piece of the stream and returns the whole events that are complete with it. The result
-// is valid until the next call. The error says that the stream is none of events.
-func (e *eventCutter) cut(piece []byte) ([]byte, error) {
-	e.pending = append(e.pending, piece...)
+// split takes a part of the stream and returns the events that are complete with it. The result is valid until
+// the next call. The error says that the stream does not consist of events.
+func (e *eventSplitter) split(part []byte) ([]byte, error) {
+	e.pending = append(e.pending, part...)
 	end := bytes.LastIndex(e.pending, eventEnd)
 	if end < 0 {
 		if len(e.pending) > maxEvent {
@@ -40,35 +40,35 @@
 		return nil, nil
 	}
 	end += len(eventEnd)
-	whole := bytes.Clone(e.pending[:end])
+	complete := bytes.Clone(e.pending[:end])
 	e.pending = append(e.pending[:0], e.pending[end:]...)
-	if err := e.check(whole); err != nil {
+	if err := e.validate(complete); err != nil {
 		return nil, err
 	}
-	e.note(whole)
-	return whole, nil
+	e.recordLastID(complete)
+	return complete, nil
 }
 
-// check returns an error unless each line is a field, a comment, or empty.
-func (e *eventCutter) check(events []byte) error {
+// validate returns an error unless each line is a field, a comment, or empty.
+func (e *eventSplitter) validate(events []byte) error {
 	for line := range bytes.SplitSeq(events, []byte("\n")) {
 		if !isField(line) {
-			return errNoEvent
+			return errNotEvent
 		}
 	}
 	return nil
 }
 
-// note remembers the number of the last event.
-func (e *eventCutter) note(whole []byte) {
-	for line := range bytes.SplitSeq(whole, []byte("\n")) {
-		if number, ok := bytes.CutPrefix(line, eventID); ok {
-			e.last = string(bytes.TrimSpace(number))
+// recordLastID records the ID of the last event.
+func (e *eventSplitter) recordLastID(complete []byte) {
+	for line := range bytes.SplitSeq(complete, []byte("\n")) {
+		if id, ok := bytes.CutPrefix(line, eventIDField); ok {
+			e.lastID = string(bytes.TrimSpace(id))
 		}
 	}
 }
 
-// isField reports whether a line of a stream is empty, a comment, or begins with a field's name.
+// isField reports whether a line of a stream is empty, a comment, or begins with a field name.
 func isField(line []byte) bool {
 	name, _, _ := bytes.Cut(bytes.TrimSuffix(line, []byte("\r")), []byte(":"))
 	return !bytes.ContainsFunc(name, func(r rune) bool {
@@ -76,8 +76,8 @@
 	})
 }
 
-// rest returns what follows the last whole event at the end of the stream.
-func (e *eventCutter) rest() []byte { return e.pending }
+// rest returns what follows the last complete event at the end of the stream.
+func (e *eventSplitter) rest() []byte { return e.pending }
 
-// forget drops the event that a broken stream has left incomplete.
-func (e *eventCutter) forget() { e.pending = e.pending[:0] }
+// discardPending discards the event that a broken stream has left incomplete.
+func (e *eventSplitter) discardPending() { e.pending = e.pending[:0] }
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway takes callers' requests and dispatches each one directly to an endpoint. It checks
-// the key, holds the client account to its limit, and passes the answer on as the endpoint writes it.
+// Package gateway accepts requests of callers and sends each one directly to an endpoint. It checks the
+// caller's key, holds the client account to its limit, and passes the endpoint's response on to the caller.
 package gateway
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/mallowlink/mallowlink/pkg/upstream"
 )
 
-// Rules are the dynamic configuration in force. They are immutable.
+// Rules are the dynamic configuration in force and the routing table made from it. They are immutable.
 type Rules struct {
 	Bundle *bundle.Bundle
 	Routes *route.Table
@@ -32,6 +32,7 @@
 
 // Request describes a request to the dispatcher.
 type Request struct {
+	// ID is the caller's identifier of this attempt.
 	ID      string
 	Group   bundle.Group
 	Route   bundle.Route
@@ -39,53 +40,54 @@
 	Terms   dialect.Terms
 	// Urgency ranks the request; 0 is first.
 	Urgency int
-	// OverLimit says that the account is beyond its limit, within what is tolerated: the request yields to
-	// all others.
+	// OverLimit says that the account is over its limit, but within the tolerance: the request yields to all
+	// others.
 	OverLimit bool
 	Arrived   time.Time
-	// Deadline is when the answer is of no more use.
+	// Deadline is when the response is of no more use to the caller.
 	Deadline time.Time
-	// Exclude lists the endpoints that have failed this request.
+	// Exclude lists the endpoints that have failed this request or must not get it.
 	Exclude []string
 }
 
-// Outcome says how an endpoint fared with a request.
+// Outcome is the outcome of a request at an endpoint.
 type Outcome struct {
 	// Unreachable says that no connection could be made.
 	Unreachable bool
-	// Rejected says that the endpoint did not run the request, AdapterMissing that it did not hold the
-	// adapter.
+	// Rejected says that the endpoint did not run the request, AdapterMissing that this was because it did not
+	// hold the adapter.
 	Rejected       bool
 	AdapterMissing bool
 	// Pause is how long the endpoint wants no further requests from this VM.
 	Pause time.Duration
-	// Failed says that the endpoint failed the request: no answer, a broken one, or an error status.
+	// Failed says that the endpoint failed the request: no response, an invalid or truncated one, or an error
+	// status.
 	Failed bool
-	// Canceled says that the caller left or its time ended first: nothing is known of the endpoint.
+	// Canceled says that the caller left or the time limit ended first: nothing is known about the endpoint.
 	Canceled bool
-	// FirstByte is the time from sending to the first part of the answer; 0 if there was none.
+	// FirstByte is the time from sending the request to the first part of the response; 0 if there was none.
 	FirstByte time.Duration
 }
 
-// Placement is an endpoint that a request may be sent to.
+// Placement is the assignment of a request to an endpoint.
 type Placement struct {
 	Endpoint roster.Endpoint
-	// AdapterVersion is the version to ask for; 0 for any.
+	// AdapterVersion is the version to request; 0 for any.
 	AdapterVersion int
-	// Started is called when the first part of the answer has arrived, Done when the request has ended
-	// there. Both are called once at most, Started before Done.
+	// Started is called when the first part of the response has arrived, Done when the request has ended at the
+	// endpoint. Each is called at most once, Started before Done.
 	Started func(after time.Duration)
 	Done    func(Outcome)
-	// Progress is called between Started and Done when further parts of a stream have arrived, not more often
-	// than every progressStep.
+	// Progress is called between Started and Done when further parts of a stream have arrived, at most once
+	// every progressInterval.
 	Progress func()
 }
 
-// Dispatcher chooses endpoints.
+// Dispatcher chooses the endpoints of requests.
 type Dispatcher interface {
-	// Placement returns an endpoint for the request, which may take as long as an adapter takes to load.
-	// The error is a *result.Error of outcome not-run.
-	Place(ctx context.Context, w Request) (Placement, error)
+	// Place returns a placement for the request. It may take as long as loading an adapter. The error is a
+	// *result.Error of outcome not-run.
+	Place(ctx context.Context, req Request) (Placement, error)
 }
 
 // Admitter holds client accounts to their limits.
@@ -96,11 +98,11 @@
 	Return(c allowance.Charge)
 }
 
-// Config holds what a gateway works with.
+// Config holds the dependencies and settings of a Gateway.
 type Config struct {
-	// Rules returns the configuration in force, nil if there is none yet.
+	// Rules returns the configuration in force; nil if there is none yet.
 	Rules func() *Rules
-	// KeysValid reports whether the configuration is known to be recent enough to serve keys by.
+	// KeysValid reports whether the configuration is known to be recent enough to check keys against it.
 	KeysValid func() bool
 	// RulesAge returns how old the configuration may be.
 	RulesAge   func() time.Duration
@@ -109,15 +111,15 @@
 	Dispatcher Dispatcher
 	Upstream   *upstream.Client
 	Suspects   Suspects
-	// Memory bounds what is held of bodies and answers.
+	// Memory bounds the memory for request bodies and responses.
 	Memory *memory.Budget
-	// Retries returns the bound of repeats to a group.
+	// Retries returns the retry budget of a group.
 	Retries func(group string) *retry.Window
 	Metrics metrics.Registry
 	Log     logrus.FieldLogger
 }
 
-// Gateway is the handler of callers' requests.
+// Gateway is the HTTP handler for the requests of callers. It is safe for concurrent use.
 type Gateway struct {
 	cfg      Config
 	meters   meters
@@ -125,7 +127,7 @@
 	running  atomic.Int64
 }
 
-// New returns a gateway.
+// New returns a Gateway.
 func New(cfg Config) *Gateway {
 	return &Gateway{cfg: cfg, meters: newMeters(cfg.Metrics)}
 }
@@ -140,8 +142,8 @@
 	newCall(g, w, r).run()
 }
 
-// Drain makes the gateway close each connection after its next answer.
+// Drain makes the gateway close each connection after its next response.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// Running returns the number of requests under way.
+// Running returns the number of requests in progress.
 func (g *Gateway) Running() int64 { return g.running.Load() }
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -29,7 +29,7 @@
 	"github.com/mallowlink/mallowlink/pkg/upstream"
 )
 
-// testDialect is a dialect with short names.
+// testDialect is a dialect with short header names.
 type testDialect struct{}
 
 func (testDialect) Inspect(h http.Header) (dialect.Terms, error) {
@@ -69,17 +69,17 @@
 
 func (testDialect) Return(h http.Header) http.Header { return h.Clone() }
 
-// fixedPlaces returns endpoints in turn, except those excluded.
-type fixedPlaces struct {
+// scriptedDispatcher places requests on the first endpoint that is not excluded.
+type scriptedDispatcher struct {
 	mu        sync.Mutex
 	endpoints []roster.Endpoint
 	outcomes  []Outcome
-	// progress counts the notes that an answer goes on.
+	// progress counts the calls of Placement.Progress.
 	progress int
 	refuse   *result.Error
 }
 
-func (p *fixedPlaces) Place(_ context.Context, w Request) (Placement, error) {
+func (p *scriptedDispatcher) Place(_ context.Context, req Request) (Placement, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.refuse != nil {
@@ -87,7 +87,7 @@
 	}
 	for _, e := range p.endpoints {
 		excluded := false
-		for _, id := range w.Exclude {
+		for _, id := range req.Exclude {
 			excluded = excluded || id == e.ID
 		}
 		if !excluded {
@@ -106,65 +106,65 @@
 	return Placement{}, result.New(result.NoEndpoint, "no endpoint is left")
 }
 
-// tokens is an Admitter with a fixed stock.
-type tokens struct {
-	mu    sync.Mutex
-	left  int64
-	given int64
+// fixedAdmitter is an Admitter with a fixed balance.
+type fixedAdmitter struct {
+	mu       sync.Mutex
+	balance  int64
+	returned int64
 }
 
-func (a *tokens) Admit(_ context.Context, account string, n int64) (allowance.Charge, error) {
+func (a *fixedAdmitter) Admit(_ context.Context, account string, n int64) (allowance.Charge, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if n > a.left {
+	if n > a.balance {
 		e := result.New(result.OverRate, "over the limit")
 		e.RetryAfter = 250 * time.Millisecond
 		return allowance.Charge{}, e
 	}
-	a.left -= n
+	a.balance -= n
 	return allowance.Charge{Account: account, Tokens: n, At: time.Now()}, nil
 }
 
-func (a *tokens) Return(c allowance.Charge) {
+func (a *fixedAdmitter) Return(c allowance.Charge) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.left += c.Tokens
-	a.given += c.Tokens
-}
-
-// bench is a gateway before endpoints that a test scripts.
-type bench struct {
-	t       *testing.T
-	places  *fixedPlaces
-	quota   *tokens
-	retries *retry.Window
-	valid   bool
-	rules   *Rules
-	server  *httptest.Server
-	seen    chan *http.Request
-	lines   *test.Hook
-	memory  *memory.Budget
-	table   *suspect.Table
-}
-
-// handler plays an endpoint.
+	a.balance += c.Tokens
+	a.returned += c.Tokens
+}
+
+// testbed is a gateway in front of endpoints that a test scripts.
+type testbed struct {
+	t            *testing.T
+	dispatcher   *scriptedDispatcher
+	quota        *fixedAdmitter
+	retries      *retry.Window
+	keysValid    bool
+	rules        *Rules
+	server       *httptest.Server
+	received     chan *http.Request
+	logHook      *test.Hook
+	memory       *memory.Budget
+	suspectTable *suspect.Table
+}
+
+// handler simulates an endpoint.
 type handler func(w http.ResponseWriter, r *http.Request)
 
-func newBench(t *testing.T, endpoints ...handler) *bench {
-	b := &bench{
-		t: t, places: &fixedPlaces{}, quota: &tokens{left: 1000}, valid: true,
-		retries: retry.NewWindow(10*time.Second, 0, func() float64 { return 3 }), seen: make(chan *http.Request, 100),
-		memory: memory.NewBudget(1 << 20), table: suspect.NewTable(suspect.DirectLimits()),
+func newTestbed(t *testing.T, endpoints ...handler) *testbed {
+	b := &testbed{
+		t: t, dispatcher: &scriptedDispatcher{}, quota: &fixedAdmitter{balance: 1000}, keysValid: true,
+		retries: retry.NewWindow(10*time.Second, 0, func() float64 { return 3 }), received: make(chan *http.Request, 100),
+		memory: memory.NewBudget(1 << 20), suspectTable: suspect.NewTable(suspect.DirectLimits()),
 	}
 	for i, h := range endpoints {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			b.seen <- r.Clone(context.Background())
+			b.received <- r.Clone(context.Background())
 			w.Header().Set("Id", r.Header.Get("Id"))
 			w.Header().Set("Signature", "s")
 			h(w, r)
 		}))
 		t.Cleanup(s.Close)
-		b.places.endpoints = append(b.places.endpoints, roster.Endpoint{
+		b.dispatcher.endpoints = append(b.dispatcher.endpoints, roster.Endpoint{
 			Incarnation: roster.Incarnation{ID: fmt.Sprintf("e%d", i)}, Address: strings.TrimPrefix(s.URL, "http://"),
 		})
 	}
@@ -185,10 +185,10 @@
 	pools := upstream.NewPools()
 	t.Cleanup(pools.Close)
 	log, lines := test.NewNullLogger()
-	b.lines = lines
+	b.logHook = lines
 	g := New(Config{
-		Rules: func() *Rules { return b.rules }, KeysValid: func() bool { return b.valid }, RulesAge: func() time.Duration { return 0 }, Dialect: testDialect{},
-		Quota: b.quota, Dispatcher: b.places, Upstream: upstream.NewClient(pools, testDialect{}, upstream.Events{}), Suspects: b.suspects(), Memory: b.memory,
+		Rules: func() *Rules { return b.rules }, KeysValid: func() bool { return b.keysValid }, RulesAge: func() time.Duration { return 0 }, Dialect: testDialect{},
+		Quota: b.quota, Dispatcher: b.dispatcher, Upstream: upstream.NewClient(pools, testDialect{}, upstream.Events{}), Suspects: b.suspects(), Memory: b.memory,
 		Retries: func(string) *retry.Window { return b.retries }, Metrics: metrics.NewRegistry(), Log: log,
 	})
 	b.server = httptest.NewServer(g)
@@ -196,25 +196,25 @@
 	return b
 }
 
-// got is what a caller gets.
-type got struct {
+// callerResponse is the response that a caller gets.
+type callerResponse struct {
 	status int
 	header http.Header
 	body   string
-	// cut says that the answer broke off.
-	cut bool
+	// truncated says that the response broke off.
+	truncated bool
 }
 
-func (b *bench) do(path string, header map[string]string, body string) got {
+func (b *testbed) do(path string, header map[string]string, body string) callerResponse {
 	return b.send(path, header, strings.NewReader(body))
 }
 
 // doChunked sends the body in chunks.
-func (b *bench) doChunked(path, body string) got {
+func (b *testbed) doChunked(path, body string) callerResponse {
 	return b.send(path, nil, io.MultiReader(strings.NewReader(body)))
 }
 
-func (b *bench) send(path string, header map[string]string, body io.Reader) got {
+func (b *testbed) send(path string, header map[string]string, body io.Reader) callerResponse {
 	req, err := http.NewRequestWithContext(b.t.Context(), http.MethodPost, b.server.URL+path, body)
 	require.NoError(b.t, err)
 	req.Host = "h"
@@ -227,14 +227,14 @@
 	require.NoError(b.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
-	return got{resp.StatusCode, resp.Header, string(data), err != nil}
+	return callerResponse{resp.StatusCode, resp.Header, string(data), err != nil}
 }
 
-func say(text string) handler {
+func respondWith(text string) handler {
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
 }
 
-func fail(status int) handler {
+func failWith(status int) handler {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		_, _ = io.WriteString(w, "failed")
@@ -246,7 +246,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// drop closes the connection without an answer.
+// drop closes the connection without a response.
 func drop(w http.ResponseWriter, _ *http.Request) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
@@ -254,18 +254,18 @@
 	}
 }
 
-func (b *bench) arrivals() int { return len(b.seen) }
+func (b *testbed) arrivals() int { return len(b.received) }
 
-func TestPassesRequestsAndAnswersOn(t *testing.T) {
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+func TestPassesOnRequestsAndResponses(t *testing.T) {
+	b := newTestbed(t, func(w http.ResponseWriter, r *http.Request) {
 		data, _ := io.ReadAll(r.Body)
 		w.Header().Set("Extra", "x")
 		_, _ = w.Write(append([]byte("got "), data...))
 	})
 	a := b.do("/safe/a%2Fb?q=1", map[string]string{"Patience": "2000", "Tokens": "5"}, "body")
-	require.Equal(t, got{status: 200, header: a.header, body: "got body"}, a)
+	require.Equal(t, callerResponse{status: 200, header: a.header, body: "got body"}, a)
 	require.Equal(t, "x", a.header.Get("Extra"))
-	r := <-b.seen
+	r := <-b.received
 	require.Equal(t, "/safe/a%2Fb?q=1", r.RequestURI)
 	require.Equal(t, "h", r.Host)
 	require.Equal(t, "acme", r.Header.Get("Account"))
@@ -273,11 +273,11 @@
 	left, err := strconv.Atoi(r.Header.Get("Left"))
 	require.NoError(t, err)
 	require.True(t, left > 1000 && left <= 2000)
-	require.EqualValues(t, 995, b.quota.left)
+	require.EqualValues(t, 995, b.quota.balance)
 }
 
 func TestRefusals(t *testing.T) {
-	b := newBench(t, say("x"))
+	b := newTestbed(t, respondWith("x"))
 	for name, c := range map[string]struct {
 		path   string
 		header map[string]string
@@ -302,17 +302,17 @@
 		}
 	}
 	require.Zero(t, b.arrivals())
-	b.valid = false
+	b.keysValid = false
 	require.Equal(t, 503, b.do("/safe/", nil, "").status, "keys cannot be checked")
 	require.Equal(t, 200, b.do("/open/", map[string]string{"Key": ""}, "").status, "open routes need no key")
 	b.rules = nil
 	require.Equal(t, 503, b.do("/open/", nil, "").status, "no configuration yet")
 }
 
-// A request that may not run twice is sent once, whatever becomes of it.
+// A request that must not run twice is sent once, whatever happens to it.
 func TestUnsafeRequestsAreSentOnce(t *testing.T) {
-	for name, h := range map[string]handler{"dropped": drop, "failed": fail(500), "failed 503": fail(503)} {
-		b := newBench(t, h, say("second"))
+	for name, h := range map[string]handler{"dropped": drop, "failed": failWith(500), "failed 503": failWith(503)} {
+		b := newTestbed(t, h, respondWith("second"))
 		a := b.do("/unsafe/", nil, "")
 		require.Equal(t, 1, b.arrivals(), name)
 		require.NotContains(t, []int{200, 429, 408, 421}, a.status, name)
@@ -320,79 +320,79 @@
 			require.Equal(t, 502, a.status)
 			require.Equal(t, string(result.MayHaveRun), a.header.Get(headerOutcome))
 		}
-		require.Zero(t, b.quota.given, "its tokens stay spent")
+		require.Zero(t, b.quota.returned, "the tokens stay spent")
 	}
 }
 
-// One that an endpoint has not run goes to another.
+// A request that an endpoint has not run goes to another one.
 func TestRequestsThatHaveNotRunGoElsewhere(t *testing.T) {
-	b := newBench(t, notRun, say("second"))
+	b := newTestbed(t, notRun, respondWith("second"))
 	a := b.do("/unsafe/", nil, "")
 	require.Equal(t, "second", a.body)
 	require.Equal(t, 2, b.arrivals())
-	b = newBench(t, notRun, notRun)
+	b = newTestbed(t, notRun, notRun)
 	a = b.do("/unsafe/", nil, "")
 	require.Equal(t, 503, a.status)
 	require.Equal(t, string(result.NotRun), a.header.Get(headerOutcome))
 	require.NotEmpty(t, a.header.Get("Retry-After"))
-	require.EqualValues(t, 1000, b.quota.left, "its tokens are given back")
+	require.EqualValues(t, 1000, b.quota.balance, "the tokens are given back")
 }
 
-// An endpoint that cannot be connected to costs no repeat.
-func TestUnreachableEndpointsArePassedOver(t *testing.T) {
-	b := newBench(t, say("x"), say("second"))
+// An unreachable endpoint costs no retry.
+func TestUnreachableEndpointsAreSkipped(t *testing.T) {
+	b := newTestbed(t, respondWith("x"), respondWith("second"))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	b.places.endpoints[0].Address = l.Addr().String()
+	b.dispatcher.endpoints[0].Address = l.Addr().String()
 	require.NoError(t, l.Close())
 	b.retries = retry.NewWindow(time.Second, 0, func() float64 { return 0 })
 	require.Equal(t, "second", b.do("/unsafe/", nil, "").body)
-	require.True(t, b.places.outcomes[0].Unreachable)
+	require.True(t, b.dispatcher.outcomes[0].Unreachable)
 }
 
-// A failure of an endpoint is repeated elsewhere if that is allowed, and passed on if it is not.
-func TestSafeRequestsAreRepeated(t *testing.T) {
-	for name, h := range map[string]handler{"failed": fail(500), "dropped": drop} {
-		b := newBench(t, h, say("second"))
+// A failure of an endpoint is retried elsewhere if that is allowed, and passed on if it is not.
+func TestIdempotentRequestsAreRetried(t *testing.T) {
+	for name, h := range map[string]handler{"failed": failWith(500), "dropped": drop} {
+		b := newTestbed(t, h, respondWith("second"))
 		require.Equal(t, "second", b.do("/safe/", nil, "").body, name)
 	}
-	b := newBench(t, fail(500), fail(500), say("third"))
+	b := newTestbed(t, failWith(500), failWith(500), respondWith("third"))
 	a := b.do("/safe/", nil, "")
 	require.Equal(t, 500, a.status)
 	require.Equal(t, "failed", a.body)
-	require.Equal(t, 2, b.arrivals(), "no more endpoints than the route allows")
-	b = newBench(t, fail(500), drop)
+	require.Equal(t, 2, b.arrivals(), "no more attempts than the route allows")
+	b = newTestbed(t, failWith(500), drop)
 	a = b.do("/safe/", nil, "")
-	require.Equal(t, 500, a.status, "the endpoint's own failure is better than none")
-	b = newBench(t, fail(500), say("second"))
+	require.Equal(t, 500, a.status, "the first endpoint's error response is passed on")
+	b = newTestbed(t, failWith(500), respondWith("second"))
 	b.retries = retry.NewWindow(time.Second, 0, func() float64 { return 0 })
-	require.Equal(t, "failed", b.do("/safe/", nil, "").body, "no repeats are left")
+	require.Equal(t, "failed", b.do("/safe/", nil, "").body, "the retry budget is used up")
 }
 
-// An answer that breaks off is repeated as long as nothing of it was passed on.
-func TestBrokenAnswersAreReplaced(t *testing.T) {
+// A truncated response is replaced by that of another endpoint as long as nothing of it was passed on.
+func TestTruncatedResponsesAreReplaced(t *testing.T) {
 	broken := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "some")
 	}
-	b := newBench(t, broken, say("second"))
+	b := newTestbed(t, broken, respondWith("second"))
 	require.Equal(t, "second", b.do("/safe/", nil, "").body)
-	b = newBench(t, broken, say("second"))
+	b = newTestbed(t, broken, respondWith("second"))
 	a := b.do("/unsafe/", nil, "")
 	require.Equal(t, 502, a.status)
 	require.Equal(t, 1, b.arrivals())
 }
 
-// An answer without the endpoint's signature is not one of its own.
-func TestUnsignedAnswersAreNotPassedOn(t *testing.T) {
-	b := newBench(t, func(w http.ResponseWriter, _ *http.Request) {
+// A response without the endpoint's signature does not come from the endpoint.
+func TestUnsignedResponsesAreNotPassedOn(t *testing.T) {
+	b := newTestbed(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Del("Signature")
 		_, _ = io.WriteString(w, "forged")
 	})
 	require.Equal(t, 502, b.do("/unsafe/", nil, "").status)
 }
 
-func events(from, to int) string {
+func numberedEvents(from, to int) string {
 	var s strings.Builder
 	for i := from; i <= to; i++ {
 		fmt.Fprintf(&s, "id: %d\ndata: event %d\n\n", i, i)
@@ -400,7 +400,7 @@
 	return s.String()
 }
 
-// flushThenDrop sends the events, then breaks off within the next one.
+// flushThenDrop sends text, then breaks off.
 func flushThenDrop(text string) handler {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, text)
@@ -409,33 +409,34 @@
 	}
 }
 
-// A stream that may not be resumed breaks off at the caller too; it does not end as if it were whole.
-func TestABrokenStreamBreaksOff(t *testing.T) {
-	b := newBench(t, flushThenDrop(events(1, 2)), say(events(1, 5)))
+// When a stream that must not be resumed breaks off, the caller's connection breaks off too, so that the stream
+// does not look complete.
+func TestBrokenStreamBreaksOff(t *testing.T) {
+	b := newTestbed(t, flushThenDrop(numberedEvents(1, 2)), respondWith(numberedEvents(1, 5)))
 	a := b.do("/stream/", nil, "")
-	require.True(t, a.cut)
-	require.Equal(t, events(1, 2), a.body)
+	require.True(t, a.truncated)
+	require.Equal(t, numberedEvents(1, 2), a.body)
 	require.Equal(t, 1, b.arrivals())
 }
 
-// The endpoint that is to go on with a broken stream answers with an error of its own: that is no part of the
-// stream, and does not end it as if it were whole.
-func TestAnErrorDoesNotEndABrokenStream(t *testing.T) {
+// The endpoint that is to continue a broken stream responds with an error. That must not be passed on as part
+// of the stream, nor end the stream as if it were complete.
+func TestErrorDoesNotEndBrokenStream(t *testing.T) {
 	for _, status := range []int{http.StatusInternalServerError, http.StatusBadRequest} {
-		b := newBench(t, flushThenDrop(events(1, 2)), fail(status))
+		b := newTestbed(t, flushThenDrop(numberedEvents(1, 2)), failWith(status))
 		a := b.do("/resume/", nil, "")
-		require.True(t, a.cut, "status %d", status)
-		require.Equal(t, events(1, 2), a.body)
+		require.True(t, a.truncated, "status %d", status)
+		require.Equal(t, numberedEvents(1, 2), a.body)
 		require.Equal(t, 2, b.arrivals())
 	}
 }
 
-// A stream that may be resumed goes on at another endpoint after its last whole event, with the head of
-// the first.
-func TestABrokenStreamIsResumed(t *testing.T) {
+// A resumable stream continues at another endpoint after its last complete event, with the head of the first
+// response.
+func TestBrokenStreamIsResumed(t *testing.T) {
 	first := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Signature", "first")
-		flushThenDrop(events(1, 2)+"id: 3\nda")(w, r)
+		flushThenDrop(numberedEvents(1, 2)+"id: 3\nda")(w, r)
 	}
 	second := func(w http.ResponseWriter, r *http.Request) {
 		last, err := strconv.Atoi(r.Header.Get("Last"))
@@ -443,27 +444,27 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		_, _ = io.WriteString(w, events(last+1, 5))
+		_, _ = io.WriteString(w, numberedEvents(last+1, 5))
 	}
-	b := newBench(t, first, second)
+	b := newTestbed(t, first, second)
 	a := b.do("/resume/", nil, "")
-	require.False(t, a.cut)
-	require.Equal(t, events(1, 5), a.body)
+	require.False(t, a.truncated)
+	require.Equal(t, numberedEvents(1, 5), a.body)
 	require.Equal(t, "first", a.header.Get("Signature"))
-	b = newBench(t, first, first)
+	b = newTestbed(t, first, first)
 	a = b.do("/resume/", nil, "")
-	require.True(t, a.cut)
-	require.True(t, strings.HasPrefix(a.body, events(1, 2)))
+	require.True(t, a.truncated)
+	require.True(t, strings.HasPrefix(a.body, numberedEvents(1, 2)))
 }
 
 // Events are passed on as they arrive.
 func TestEventsArePassedOnAtOnce(t *testing.T) {
 	more := make(chan struct{})
-	b := newBench(t, func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(w, events(1, 1))
+	b := newTestbed(t, func(w http.ResponseWriter, _ *http.Request) {
+		_, _ = io.WriteString(w, numberedEvents(1, 1))
 		w.(http.Flusher).Flush()
 		<-more
-		_, _ = io.WriteString(w, events(2, 2))
+		_, _ = io.WriteString(w, numberedEvents(2, 2))
 	})
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, b.server.URL+"/stream/", nil)
 	require.NoError(t, err)
@@ -479,28 +480,27 @@
 	close(more)
 }
 
-// Each part of a stream that comes some time after the one before tells the dispatcher that the endpoint goes
-// on.
-func TestPartsOfAStreamAreSignsOfLife(t *testing.T) {
+// The dispatcher is told of progress for each part of a stream that arrives some time after the one before.
+func TestStreamPartsReportProgress(t *testing.T) {
 	const parts = 3
-	b := newBench(t, func(w http.ResponseWriter, _ *http.Request) {
+	b := newTestbed(t, func(w http.ResponseWriter, _ *http.Request) {
 		for i := range parts {
-			_, _ = io.WriteString(w, events(i+1, i+1))
+			_, _ = io.WriteString(w, numberedEvents(i+1, i+1))
 			w.(http.Flusher).Flush()
-			time.Sleep(progressStep + progressStep/2)
+			time.Sleep(progressInterval + progressInterval/2)
 		}
 	})
 	b.do("/stream/", nil, "")
-	b.places.mu.Lock()
-	defer b.places.mu.Unlock()
-	require.Equal(t, parts, b.places.progress)
+	b.dispatcher.mu.Lock()
+	defer b.dispatcher.mu.Unlock()
+	require.Equal(t, parts, b.dispatcher.progress)
 }
 
-// When the caller leaves, the endpoint of a request that may be dropped sees its connection end.
-func TestALeavingCallerEndsTheWork(t *testing.T) {
+// When the caller leaves, the endpoint's connection is closed if the request may be dropped.
+func TestLeavingCallerCancelsRequest(t *testing.T) {
 	ended := make(chan struct{})
 	arrived := make(chan struct{})
-	b := newBench(t, func(_ http.ResponseWriter, r *http.Request) {
+	b := newTestbed(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(arrived)
 		<-r.Context().Done()
 		close(ended)
@@ -520,18 +520,18 @@
 	<-ended
 }
 
-// The time of the route ends a request with a final answer.
-func TestTheRoutesTimeEndsARequest(t *testing.T) {
+// A request gets a final response when the time limit of its route is over.
+func TestRouteTimeoutEndsRequest(t *testing.T) {
 	release := make(chan struct{})
-	b := newBench(t, func(http.ResponseWriter, *http.Request) { <-release })
+	b := newTestbed(t, func(http.ResponseWriter, *http.Request) { <-release })
 	defer close(release)
 	a := b.do("/open/", nil, "")
 	require.Equal(t, 504, a.status)
 	require.Equal(t, string(result.MayHaveRun), a.header.Get(headerOutcome))
 }
 
-// Statuses that promise that a request has not run are not given to one that may have.
-func TestStatusesKeepTheirPromise(t *testing.T) {
+// Statuses that promise that a request has not run are not given to one that may have run.
+func TestNotRunStatusesAreNotGivenToRequestsThatMayHaveRun(t *testing.T) {
 	for _, info := range result.Table() {
 		e := result.New(info.Code, "x")
 		e.Outcome = result.MayHaveRun
@@ -540,29 +540,29 @@
 }
 
 func TestChunkedBodiesAreForwarded(t *testing.T) {
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newTestbed(t, func(w http.ResponseWriter, r *http.Request) {
 		data, _ := io.ReadAll(r.Body)
 		_, _ = w.Write(data)
 	})
 	require.Equal(t, "one two", b.doChunked("/safe/", "one two").body)
 }
 
-func TestCutterPassesWholeEventsOnly(t *testing.T) {
-	text := events(1, 9)
+func TestSplitterPassesCompleteEventsOnly(t *testing.T) {
+	text := numberedEvents(1, 9)
 	for size := 1; size < 40; size += 3 {
-		var c eventCutter
+		var c eventSplitter
 		var out strings.Builder
 		for rest := text; len(rest) > 0; {
 			n := min(size, len(rest))
-			cut, err := c.cut([]byte(rest[:n]))
+			part, err := c.split([]byte(rest[:n]))
 			require.NoError(t, err)
-			whole := string(cut)
-			require.True(t, whole == "" || strings.HasSuffix(whole, "\n\n"))
-			out.WriteString(whole)
+			complete := string(part)
+			require.True(t, complete == "" || strings.HasSuffix(complete, "\n\n"))
+			out.WriteString(complete)
 			rest = rest[n:]
 		}
 		require.Equal(t, text, out.String())
-		require.Equal(t, "9", c.last)
+		require.Equal(t, "9", c.lastID)
 		require.Empty(t, c.rest())
 	}
 }
--- a/pkg/gateway/metrics.go
+++ b/pkg/gateway/metrics.go
@@ -16,11 +16,12 @@
 	metricResumed  = "gateway.resumed"
 	metricFirst    = "gateway.first"
 	metricWait     = "gateway.wait"
-	// metricConnectionsEnded counts the requests whose endpoint's side of the connection ended before the answer.
+	// metricConnectionsEnded counts the requests whose connection the endpoint closed or reset before the
+	// response was complete.
 	metricConnectionsEnded = "gateway.connections_ended"
 )
 
-// sampleSize bounds the samples of a histogram; sampleAlpha is its bias to recent values. Both are the
+// sampleSize is the number of samples of a histogram, sampleAlpha its bias to recent values. Both are the
 // values that go-metrics recommends.
 const (
 	sampleSize  = 1028
@@ -30,8 +31,8 @@
 // meters are the gateway's counters and latency histograms, in nanoseconds.
 type meters struct {
 	requests, answered, refused, failed, repeats, resumed, connectionsEnded metrics.Counter
-	// first is the time from a request's arrival to the first part of its answer; wait is the time
-	// until it had an endpoint.
+	// first is the time from a request's arrival to the first part of its response, wait the time that it
+	// waited for placements.
 	first, wait metrics.Histogram
 }
 
--- a/pkg/gateway/pass.go
+++ b/pkg/gateway/pass.go
@@ -15,121 +15,123 @@
 )
 
 const (
-	// wholeLimit is the size up to which an answer that is no stream is read in whole before it is
-	// passed on, in bytes, so that one that breaks off can still be replaced.
-	wholeLimit = 64 << 10
-	// pieceSize is the size of the buffers for pieces of answers, in bytes.
-	pieceSize = 4 << 10
-	// progressStep is the least time between two notes that a stream goes on: a small part of the silence
-	// from which an endpoint is avoided.
-	progressStep = 100 * time.Millisecond
+	// bufferLimit is the size in bytes up to which a response that is not a stream is read completely before it
+	// is passed on, so that a truncated one can still be replaced by another endpoint's.
+	bufferLimit = 64 << 10
+	// readBufferSize is the size of the buffers for reading streams, in bytes.
+	readBufferSize = 4 << 10
+	// progressInterval is the least time between two calls of Placement.Progress. It is a small part of the
+	// time after which an endpoint counts as unresponsive.
+	progressInterval = 100 * time.Millisecond
 )
 
-// pieces are buffers for pieces of answers.
-var pieces = sync.Pool{New: func() any { return new([pieceSize]byte) }}
+// readBuffers are buffers for reading streams.
+var readBuffers = sync.Pool{New: func() any { return new([readBufferSize]byte) }}
 
-// relay is how far the answer has been passed on.
+// relay is the state of passing a response on to the caller.
 type relay struct {
-	// begun says that the head has been passed on.
-	begun bool
-	// lastEvent is the number of the last whole event passed on, of a stream that can be resumed.
+	// headSent says that the head has been passed on.
+	headSent bool
+	// lastEvent is the ID of the last complete event passed on, for a stream that can be resumed.
 	lastEvent string
-	events    eventCutter
-	// held is the memory that is taken for an event whose end has not arrived, in bytes.
-	held int64
+	events    eventSplitter
+	// heldMemory is the memory taken from the budget for an incomplete event, in bytes.
+	heldMemory int64
 }
 
-// pass passes the answer on.
-func (c *call) pass() chart.Event {
-	if c.route.Stream && c.answer.Status < http.StatusMultipleChoices {
+// passResponse passes the response on to the caller.
+func (c *call) passResponse() chart.Event {
+	if c.route.Stream && c.response.Status < http.StatusMultipleChoices {
 		return c.passStream()
 	}
-	if c.relay.begun {
+	if c.relay.headSent {
 		return c.notResumed()
 	}
 	return c.passWhole()
 }
 
-// notResumed handles an answer that does not go on with a stream that the caller has received a part of.
+// notResumed handles a response that does not continue a stream of which the caller has already received a
+// part.
 func (c *call) notResumed() chart.Event {
-	c.logAttempt("not_resumed", errors.Errorf("status %d", c.answer.Status))
-	c.drop(Outcome{Failed: retryableStatus(c.answer.Status)})
-	event := c.repeat(result.New(result.AnswerCut, "no endpoint went on with the stream"))
+	c.logAttempt("not_resumed", errors.Errorf("status %d", c.response.Status))
+	c.closeResponse(Outcome{Failed: retryableStatus(c.response.Status)})
+	event := c.retry(result.New(result.AnswerCut, "no endpoint went on with the stream"))
 	if event == eventAgain {
 		return eventResume
 	}
 	return event
 }
 
-// passWhole reads an answer to its end and passes it on. A larger one is passed on piece by piece, but for one whose length
-// is not stated: it may have no end, and nothing of it is an answer then.
+// passWhole reads a response to its end and passes it on. A response over bufferLimit is passed on as it
+// arrives if its length is stated. One without a stated length is always buffered: it may be endless, and must
+// not reach the caller then.
 func (c *call) passWhole() chart.Event {
-	stated := c.answer.Length >= 0
-	reader := io.Reader(c.answer)
+	stated := c.response.Length >= 0
+	reader := io.Reader(c.response)
 	if stated {
-		reader = io.LimitReader(reader, wholeLimit)
+		reader = io.LimitReader(reader, bufferLimit)
 	}
-	body, held, err := c.g.cfg.Memory.ReadAll(reader, c.answer.Length, 0)
-	c.held += held
+	body, held, err := c.g.cfg.Memory.ReadAll(reader, c.response.Length, 0)
+	c.heldMemory += held
 	if err != nil && !(stated && errors.Is(err, memory.ErrExhausted)) {
-		return c.cutShort(err)
+		return c.responseCut(err)
 	}
-	c.noteFirst()
-	if err != nil || stated && len(body) == wholeLimit {
+	c.recordFirstByte()
+	if err != nil || stated && len(body) == bufferLimit {
 		return c.passLong(body)
 	}
-	answer := &stored{status: c.answer.Status, header: c.answer.Header, body: body}
-	c.noteServed()
-	failed := retryableStatus(answer.status)
+	response := &bufferedResponse{status: c.response.Status, header: c.response.Header, body: body}
+	c.recordServed()
+	failed := retryableStatus(response.status)
 	if failed {
-		c.logAttempt("failed", errors.Errorf("status %d", answer.status))
+		c.logAttempt("failed", errors.Errorf("status %d", response.status))
 	}
-	c.drop(Outcome{Failed: failed, FirstByte: c.first, Pause: c.pause()})
+	c.closeResponse(Outcome{Failed: failed, FirstByte: c.firstByte, Pause: c.requestedPause()})
 	if failed && c.route.Idempotent {
-		if event := c.repeat(nil); event == eventAgain {
-			c.spare = answer
+		if event := c.retry(nil); event == eventAgain {
+			c.fallback = response
 			return event
 		}
 	}
-	c.deliver(answer)
+	c.writeBuffered(response)
 	return eventDone
 }
 
-// deliver passes on an answer that was read in whole.
-func (c *call) deliver(s *stored) {
-	c.head(s.status, s.header, int64(len(s.body)))
-	_, _ = c.w.Write(s.body)
+// writeBuffered writes a response that has been read completely.
+func (c *call) writeBuffered(response *bufferedResponse) {
+	c.writeHead(response.status, response.header, int64(len(response.body)))
+	_, _ = c.w.Write(response.body)
 }
 
-// passLong passes on an answer that is too long to be held.
-func (c *call) passLong(begun []byte) chart.Event {
-	c.head(c.answer.Status, c.answer.Header, c.answer.Length)
-	if _, err := c.w.Write(begun); err != nil {
+// passLong passes on a response that is too long to be buffered. prefix is the part that has been read.
+func (c *call) passLong(prefix []byte) chart.Event {
+	c.writeHead(c.response.Status, c.response.Header, c.response.Length)
+	if _, err := c.w.Write(prefix); err != nil {
 		return c.callerLeft()
 	}
-	if _, err := io.Copy(c.w, c.answer); err != nil {
-		return c.cutShort(err)
+	if _, err := io.Copy(c.w, c.response); err != nil {
+		return c.responseCut(err)
 	}
-	c.noteServed()
-	c.drop(Outcome{FirstByte: c.first})
+	c.recordServed()
+	c.closeResponse(Outcome{FirstByte: c.firstByte})
 	return eventDone
 }
 
-// passStream passes on a stream as its pieces arrive.
+// passStream passes on a stream as its parts arrive.
 func (c *call) passStream() chart.Event {
-	buffer := pieces.Get().(*[pieceSize]byte)
-	defer pieces.Put(buffer)
+	buffer := readBuffers.Get().(*[readBufferSize]byte)
+	defer readBuffers.Put(buffer)
 	flusher, _ := c.w.(http.Flusher)
 	for {
-		n, err := c.answer.Read(buffer[:])
+		n, err := c.response.Read(buffer[:])
 		if n > 0 {
-			c.noteFirst()
-			c.noteProgress()
-			whole, err := c.wholeEvents(buffer[:n])
+			c.recordFirstByte()
+			c.reportProgress()
+			complete, err := c.completeEvents(buffer[:n])
 			if err != nil {
-				return c.cutShort(err)
+				return c.responseCut(err)
 			}
-			if len(whole) > 0 && !c.passPiece(whole, flusher) {
+			if len(complete) > 0 && !c.writeEvents(complete, flusher) {
 				return c.callerLeft()
 			}
 		}
@@ -137,95 +139,96 @@
 			return c.endStream()
 		}
 		if err != nil {
-			return c.cutShort(err)
+			return c.responseCut(err)
 		}
 	}
 }
 
-// wholeEvents returns the events that are complete with a piece of a stream. Only whole ones are passed on, so that a
-// resumed stream joins the first without a break, and bytes that are no event never reach the caller.
-func (c *call) wholeEvents(piece []byte) ([]byte, error) {
-	whole, err := c.relay.events.cut(piece)
+// completeEvents returns the events that are complete with a part of a stream. Only complete events are passed
+// on, so that a resumed stream continues the first one without a break, and bytes that are not events never
+// reach the caller.
+func (c *call) completeEvents(part []byte) ([]byte, error) {
+	complete, err := c.relay.events.split(part)
 	if err != nil {
 		return nil, err
 	}
-	if more := int64(cap(c.relay.events.pending)) - c.relay.held; more > 0 {
+	if more := int64(cap(c.relay.events.pending)) - c.relay.heldMemory; more > 0 {
 		if !c.g.cfg.Memory.Take(more) {
 			return nil, memory.ErrExhausted
 		}
-		c.relay.held += more
-		c.held += more
+		c.relay.heldMemory += more
+		c.heldMemory += more
 	}
-	return whole, nil
+	return complete, nil
 }
 
-// passPiece passes on whole events of a stream.
-func (c *call) passPiece(piece []byte, flusher http.Flusher) bool {
-	if !c.relay.begun {
-		c.head(c.answer.Status, c.answer.Header, -1)
+// writeEvents passes on complete events of a stream. It reports false if the caller has left.
+func (c *call) writeEvents(complete []byte, flusher http.Flusher) bool {
+	if !c.relay.headSent {
+		c.writeHead(c.response.Status, c.response.Header, -1)
 	}
-	if _, err := c.w.Write(piece); err != nil {
+	if _, err := c.w.Write(complete); err != nil {
 		return false
 	}
 	if flusher != nil {
 		flusher.Flush()
 	}
 	if c.route.Resumable {
-		c.relay.lastEvent = c.relay.events.last
+		c.relay.lastEvent = c.relay.events.lastID
 	}
 	return true
 }
 
-// endStream ends a whole stream.
+// endStream handles the end of a stream.
 func (c *call) endStream() chart.Event {
-	if err := c.relay.events.check(c.relay.events.rest()); err != nil {
-		return c.cutShort(err)
+	if err := c.relay.events.validate(c.relay.events.rest()); err != nil {
+		return c.responseCut(err)
 	}
-	if !c.relay.begun {
-		c.head(c.answer.Status, c.answer.Header, -1)
+	if !c.relay.headSent {
+		c.writeHead(c.response.Status, c.response.Header, -1)
 	}
 	if rest := c.relay.events.rest(); len(rest) > 0 {
 		_, _ = c.w.Write(rest)
 	}
-	c.noteServed()
-	c.drop(Outcome{FirstByte: c.first})
+	c.recordServed()
+	c.closeResponse(Outcome{FirstByte: c.firstByte})
 	return eventDone
 }
 
-// cutShort handles an answer that breaks off.
-func (c *call) cutShort(err error) chart.Event {
+// responseCut handles a response that breaks off.
+func (c *call) responseCut(err error) chart.Event {
 	c.logAttempt("cut_short", err)
 	if c.ctx.Err() != nil {
-		c.drop(Outcome{Canceled: true})
+		c.closeResponse(Outcome{Canceled: true})
 		return c.interrupted()
 	}
-	c.noteEnd(err)
-	c.drop(Outcome{Failed: true, FirstByte: c.first})
+	c.reportBrokenConnection(err)
+	c.closeResponse(Outcome{Failed: true, FirstByte: c.firstByte})
 	broken := result.New(result.AnswerCut, "the endpoint's answer broke off")
-	if c.relay.begun && !c.route.Resumable {
+	if c.relay.headSent && !c.route.Resumable {
 		return c.fail(broken)
 	}
-	c.relay.events.forget()
-	event := c.repeat(broken)
-	if event == eventAgain && c.relay.begun {
+	c.relay.events.discardPending()
+	event := c.retry(broken)
+	if event == eventAgain && c.relay.headSent {
 		c.g.meters.resumed.Inc(1)
 		return eventResume
 	}
 	return event
 }
 
-// callerLeft handles a caller that takes no more of the answer.
+// callerLeft handles a caller that no longer reads the response.
 func (c *call) callerLeft() chart.Event {
-	c.drop(Outcome{Canceled: true, FirstByte: c.first})
+	c.closeResponse(Outcome{Canceled: true, FirstByte: c.firstByte})
 	return c.fail(result.New(result.CallerGone, "the caller closed the connection"))
 }
 
-// head writes the head of the answer. A resumed stream keeps the head of its first endpoint.
-func (c *call) head(status int, header http.Header, length int64) {
-	if c.relay.begun {
+// writeHead writes the head of the response. A resumed stream keeps the head of its first endpoint.
+func (c *call) writeHead(status int, header http.Header, length int64) {
+	if c.relay.headSent {
 		return
 	}
-	c.relay.begun = true
+	c.relay.headSent = true
 	out := c.w.Header()
 	for name, values := range c.g.cfg.Dialect.Return(header) {
 		out[name] = values
@@ -238,24 +241,24 @@
 	c.w.WriteHeader(status)
 }
 
-// noteFirst notes the time of the answer's first part.
-func (c *call) noteFirst() {
-	if c.first > 0 {
+// recordFirstByte records when the first part of the response has arrived.
+func (c *call) recordFirstByte() {
+	if c.firstByte > 0 {
 		return
 	}
 	now := time.Now()
-	c.first = now.Sub(c.arrived)
-	if c.place.Started != nil {
-		c.place.Started(now.Sub(c.sentAt))
+	c.firstByte = now.Sub(c.arrived)
+	if c.placement.Started != nil {
+		c.placement.Started(now.Sub(c.sentAt))
 	}
 }
 
-// noteProgress notes that the stream goes on.
-func (c *call) noteProgress() {
+// reportProgress tells the dispatcher that the stream goes on.
+func (c *call) reportProgress() {
 	now := time.Now()
-	if c.place.Progress == nil || now.Sub(c.progressAt) < progressStep {
+	if c.placement.Progress == nil || now.Sub(c.lastProgress) < progressInterval {
 		return
 	}
-	c.progressAt = now
-	c.place.Progress()
+	c.lastProgress = now
+	c.placement.Progress()
 }
--- a/pkg/gateway/send.go
+++ b/pkg/gateway/send.go
@@ -14,38 +14,39 @@
 	"github.com/mallowlink/mallowlink/pkg/upstream"
 )
 
-// send sends the request to its endpoint and waits for the head of the answer.
+// send sends the request to its endpoint and waits for the head of the response.
 func (c *call) send() chart.Event {
-	if e := c.over(); e != nil {
-		c.leave(Outcome{Canceled: true})
+	if e := c.abortReason(); e != nil {
+		c.endPlacement(Outcome{Canceled: true})
 		return c.refuse(e)
 	}
 	c.sentAt, c.headAt = time.Now(), time.Time{}
-	e := c.place.Endpoint
+	e := c.placement.Endpoint
 	target := upstream.Target{ID: e.ID, Started: e.Started, Address: e.Address}
-	answer, err := c.g.cfg.Upstream.Send(c.ctx, target, c.outgoing())
+	response, err := c.g.cfg.Upstream.Send(c.ctx, target, c.upstreamRequest())
 	if err != nil {
-		return c.unanswered(err)
+		return c.noResponse(err)
 	}
-	c.answer, c.headAt = answer, time.Now()
+	c.response, c.headAt = response, time.Now()
 	c.g.cfg.Suspects.Answered(e.Incarnation, c.sentAt)
-	if answer.Verdict.NotRun {
+	if response.Verdict.NotRun {
 		return c.rejected()
 	}
 	c.runs++
-	if !c.sound() {
-		return c.broken("the endpoint's answer is not one of its own")
+	if !c.validHead() {
+		return c.invalidResponse("the endpoint's answer is not one of its own")
 	}
 	return eventHead
 }
 
-func (c *call) outgoing() upstream.Request {
+// upstreamRequest returns the request to be sent to the endpoint.
+func (c *call) upstreamRequest() upstream.Request {
 	delivery := dialect.Delivery{
 		Left:           time.Until(c.deadline),
-		EndpointID:     c.place.Endpoint.ID,
+		EndpointID:     c.placement.Endpoint.ID,
 		Account:        c.account,
 		Urgency:        -1,
-		AdapterVersion: c.place.AdapterVersion,
+		AdapterVersion: c.placement.AdapterVersion,
 		LastEvent:      c.relay.lastEvent,
 	}
 	if c.group.Engine != nil {
@@ -61,86 +62,87 @@
 	}
 }
 
-// sound reports whether the head is that of an endpoint's own answer.
-func (c *call) sound() bool {
-	v := c.answer.Verdict
+// validHead reports whether the response comes unmodified from the endpoint: signed, and not re-encoded on the
+// way.
+func (c *call) validHead() bool {
+	v := c.response.Verdict
 	return v.Signed && !v.Encoded
 }
 
-// unanswered handles a request that got no answer.
-func (c *call) unanswered(err error) chart.Event {
+// noResponse handles a request that got no response.
+func (c *call) noResponse(err error) chart.Event {
 	var failed *upstream.Error
 	if !errors.As(err, &failed) || failed.Sent {
 		c.runs++
 	}
 	if c.ctx.Err() != nil {
 		c.logAttempt("cut", context.Cause(c.ctx))
-		c.leave(Outcome{Canceled: true})
+		c.endPlacement(Outcome{Canceled: true})
 		return c.interrupted()
 	}
 	if failed != nil && !failed.Sent {
 		c.logAttempt("unreachable", err)
-		c.leave(Outcome{Unreachable: true})
-		return c.another(result.New(result.NoEndpoint, "no connection to an endpoint"), false)
+		c.endPlacement(Outcome{Unreachable: true})
+		return c.tryAnother(result.New(result.NoEndpoint, "no connection to an endpoint"), false)
 	}
 	c.logAttempt("unanswered", err)
-	c.noteEnd(err)
-	c.leave(Outcome{Failed: true})
-	return c.repeat(result.New(result.EndpointFailed, "the endpoint did not answer"))
+	c.reportBrokenConnection(err)
+	c.endPlacement(Outcome{Failed: true})
+	return c.retry(result.New(result.EndpointFailed, "the endpoint did not answer"))
 }
 
-// rejected handles an answer that says that the request has not run.
+// rejected handles a response that says that the request has not run.
 func (c *call) rejected() chart.Event {
-	missing := c.answer.Verdict.Misdirected
-	c.logAttempt("rejected", errors.Errorf("status %d", c.answer.Status))
-	c.drop(Outcome{Rejected: true, AdapterMissing: missing, Pause: c.pause()})
-	return c.another(result.New(result.QueueFull, "the endpoints are full"), true)
+	notLoaded := c.response.Verdict.Misdirected
+	c.logAttempt("rejected", errors.Errorf("status %d", c.response.Status))
+	c.closeResponse(Outcome{Rejected: true, AdapterMissing: notLoaded, Pause: c.requestedPause()})
+	return c.tryAnother(result.New(result.QueueFull, "the endpoints are full"), true)
 }
 
-// pause returns how long the endpoint wants no further requests from this VM, and logs what it has said if that is not kept
-// to.
-func (c *call) pause() time.Duration {
-	v := c.answer.Verdict
+// requestedPause returns how long the endpoint wants no further requests from this VM. It logs a requested
+// pause that cannot be read or is not kept.
+func (c *call) requestedPause() time.Duration {
+	v := c.response.Verdict
 	if v.PauseText != "" {
 		c.g.cfg.Log.WithFields(logrus.Fields{
-			"event": "pause_not_kept", "id": c.terms.ID, "endpoint": c.place.Endpoint.ID, "asked": v.PauseText, "pause": v.Pause,
-		}).Warn()
+			"event": "pause_not_kept", "id": c.terms.ID, "endpoint": c.placement.Endpoint.ID, "asked": v.PauseText, "pause": v.Pause,
+		}).Warn("pause requested by endpoint is not kept")
 	}
 	return v.Pause
 }
 
-// drop ends the use of the answer and tells the dispatcher.
-func (c *call) drop(o Outcome) {
-	c.answer.Close()
-	c.answer = nil
-	c.leave(o)
+// closeResponse closes the endpoint's response and ends the placement.
+func (c *call) closeResponse(o Outcome) {
+	c.response.Close()
+	c.response = nil
+	c.endPlacement(o)
 }
 
-// another goes on to another endpoint after one that has not run the request. Requests that have
-// arrived at an endpoint count towards the bound of repeats.
-func (c *call) another(e *result.Error, arrived bool) chart.Event {
+// tryAnother continues with another endpoint after one that has not run the request. If the request had arrived
+// there, sending it again counts towards the retry budget.
+func (c *call) tryAnother(e *result.Error, arrived bool) chart.Event {
 	c.rejections++
-	c.exclude = append(c.exclude, c.place.Endpoint.ID)
+	c.exclude = append(c.exclude, c.placement.Endpoint.ID)
 	if c.rejections >= maxRejections {
 		return c.refuse(e)
 	}
-	if arrived && !c.mayRepeat() {
+	if arrived && !c.takeRetry() {
 		return c.refuse(e)
 	}
 	return eventAgain
 }
 
-// repeat sends the request again after an endpoint that may have run it, if its route allows that.
-func (c *call) repeat(e *result.Error) chart.Event {
-	if !c.repeatable() || c.runs >= max(c.route.MaxAttempts, 1) || !c.mayRepeat() {
+// retry sends the request again after an endpoint that may have run it, if its route allows that.
+func (c *call) retry(e *result.Error) chart.Event {
+	if !c.repeatable() || c.runs >= max(c.route.MaxAttempts, 1) || !c.takeRetry() {
 		return c.fail(e)
 	}
-	c.exclude = append(c.exclude, c.place.Endpoint.ID)
+	c.exclude = append(c.exclude, c.placement.Endpoint.ID)
 	return eventAgain
 }
 
-// mayRepeat takes the right to one more arrival at an endpoint.
-func (c *call) mayRepeat() bool {
+// takeRetry takes one retry from the budget of the group. It reports false if none is left.
+func (c *call) takeRetry() bool {
 	if !c.g.cfg.Retries(c.group.Name).Repeat(time.Now()) {
 		return false
 	}
@@ -148,16 +150,16 @@
 	return true
 }
 
-// broken handles an answer that cannot be passed on.
-func (c *call) broken(why string) chart.Event {
-	c.logAttempt("broken", errors.New(why))
-	c.drop(Outcome{Failed: true})
-	return c.repeat(result.New(result.EndpointFailed, why))
+// invalidResponse handles a response that must not be passed on.
+func (c *call) invalidResponse(reason string) chart.Event {
+	c.logAttempt("broken", errors.New(reason))
+	c.closeResponse(Outcome{Failed: true})
+	return c.retry(result.New(result.EndpointFailed, reason))
 }
 
 // interrupted ends a call whose context has ended while an endpoint may be running it.
 func (c *call) interrupted() chart.Event {
-	if !errors.Is(context.Cause(c.ctx), errTimeOver) {
+	if !errors.Is(context.Cause(c.ctx), errTimeLimit) {
 		return c.fail(result.New(result.CallerGone, "the caller closed the connection"))
 	}
 	if c.runs == 0 {
@@ -166,5 +168,5 @@
 	return c.fail(result.New(result.EndpointTimeout, "the endpoint did not answer in time"))
 }
 
-// retryableStatus reports whether another endpoint may do better.
+// retryableStatus reports whether another endpoint may give a better response.
 func retryableStatus(status int) bool { return status >= http.StatusInternalServerError }
