--- a/pkg/dispatch/dispatch.go
+++ b/pkg/dispatch/dispatch.go
@@ -36,7 +36,7 @@
 	Leases        lease.Lessor
 	Caller        peer.Caller
 	// Engines fetches status reports directly from engines whose owners cannot be reached.
-	Engines Reporter
+	Engines ReportReader
 	// RosterAge returns how old the list of endpoints may be.
 	RosterAge func() time.Duration
 	// Newest returns the newest version of an adapter that the operator has declared; 0 if none.
--- a/pkg/dispatch/reports.go
+++ b/pkg/dispatch/reports.go
@@ -26,15 +26,15 @@
 	reportRetention = 10 * time.Second
 )
 
-// Reporter fetches the status report of an engine. engine.Engines implements it.
-type Reporter interface {
+// ReportReader fetches the status report of an engine. engine.Engines implements it.
+type ReportReader interface {
 	Report(ctx context.Context, target upstream.Target) (engine.Report, error)
 }
 
 // reportCache holds status reports of engines, fetched for requests that found no reachable owner. It is safe
 // for concurrent use.
 type reportCache struct {
-	source Reporter
+	source ReportReader
 	log    logrus.FieldLogger
 	// inFlight lets concurrent requests share the fetch of a report.
 	inFlight singleflight.Group
@@ -50,7 +50,7 @@
 	engine.Report
 }
 
-func newReportCache(source Reporter, log logrus.FieldLogger) *reportCache {
+func newReportCache(source ReportReader, log logrus.FieldLogger) *reportCache {
 	return &reportCache{source: source, log: log, cached: map[roster.Incarnation]cachedReport{}}
 }
 
