--- a/pkg/gatewayd/drain.go
+++ b/pkg/gatewayd/drain.go
@@ -9,13 +9,13 @@
 	"github.com/mallowlink/mallowlink/pkg/clock"
 )
 
-// balancerWait is how long a stopping process still takes new connections: the balancer notices within two
+// balancerDelay is how long a stopping process still takes new connections: the balancer notices within two
 // of its questions.
-const balancerWait = 2500 * time.Millisecond
+const balancerDelay = 2500 * time.Millisecond
 
-// drain ends the work of a process for others. Its functions return once they are done, or when their
+// drainer ends the work of a process for others. Its functions return once they are done, or when their
 // context ends.
-type drain struct {
+type drainer struct {
 	// handOver hands the leases over; shutDown takes no more requests and waits for those under way.
 	handOver, shutDown func(ctx context.Context) error
 	log                logrus.FieldLogger
@@ -23,10 +23,10 @@
 
 // run drains until both are done or ctx ends. Requests are taken no longer than the balancer needs to
 // notice, also while leases cannot be handed over: one that came later could be cut.
-func (d drain) run(ctx context.Context) {
+func (d drainer) run(ctx context.Context) {
 	handedOver := make(chan error, 1)
 	go func() { handedOver <- d.handOver(ctx) }()
-	clock.Sleep(ctx, balancerWait)
+	clock.Sleep(ctx, balancerDelay)
 	if err := d.shutDown(ctx); err != nil {
 		d.log.WithFields(logrus.Fields{"event": "drain_cut", "error": err.Error()}).Warn()
 	}
--- a/pkg/gatewayd/drain_test.go
+++ b/pkg/gatewayd/drain_test.go
@@ -15,14 +15,14 @@
 
 // A process whose leases cannot be handed over stops taking requests all the same: one taken shortly before
 // SIGKILL would be cut.
-func TestNoRequestIsTakenWhileLeasesWait(t *testing.T) {
+func TestDrainStopsAcceptingRequestsWhileLeasesCannotBeHandedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, _ := test.NewNullLogger()
 		begun := time.Now()
 		var closed time.Duration
 		ctx, cancel := context.WithTimeout(t.Context(), grace)
 		defer cancel()
-		drain{
+		drainer{
 			handOver: func(ctx context.Context) error {
 				<-ctx.Done()
 				return ctx.Err()
@@ -33,20 +33,20 @@
 			},
 			log: log,
 		}.run(ctx)
-		require.Equal(t, balancerWait, closed)
+		require.Equal(t, balancerDelay, closed)
 		require.Equal(t, grace, time.Since(begun), "the leases are handed over until the end")
 	})
 }
 
 // A VM without leases has nothing to hand over, and does not become a steward while it stops.
-func TestAVMWithoutLeasesDrainsAtOnce(t *testing.T) {
+func TestVMWithoutLeasesDrainsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, _ := test.NewNullLogger()
-		s := &stewards{log: log, vms: map[string]seenVM{}}
+		s := &stewardSet{log: log, vms: map[string]knownVM{}}
 		begun := time.Now()
 		require.NoError(t, s.drain(t.Context()))
 		require.Zero(t, time.Since(begun))
-		require.False(t, s.begin())
-		require.False(t, s.active())
+		require.False(t, s.becomeSteward())
+		require.False(t, s.isSteward())
 	})
 }
--- /dev/null
+++ b/pkg/gatewayd/fleetview_test.go
@@ -0,0 +1,44 @@
+package gatewayd
+
+import (
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus/hooks/test"
+	"github.com/stretchr/testify/require"
+
+	"github.com/mallowlink/mallowlink/pkg/roster"
+)
+
+// A run of an endpoint that has said in an answer that it leaves gets no new requests, whatever older or newer lists say;
+// its next run does.
+func TestEndpointThatAnnouncesTerminationGetsNoNewRequests(t *testing.T) {
+	log, lines := test.NewNullLogger()
+	v := newFleetView(Platform{}, log)
+	changes := 0
+	v.onChange = func() { changes++ }
+	now := time.Now()
+	draining := func(id string) bool {
+		e, listed := v.roster.View().Endpoint(id)
+		require.True(t, listed)
+		return e.Draining
+	}
+	v.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), listedEndpoint("b", false)}, 10, now)
+	require.True(t, v.recordLeaving(listedEndpoint("a", false).Incarnation))
+	require.Equal(t, 2, changes, "order givers hear of it")
+	require.False(t, v.recordLeaving(listedEndpoint("a", false).Incarnation), "it was known")
+	require.Equal(t, "endpoint_leaves", lines.AllEntries()[2].Data["event"])
+	require.True(t, draining("a"))
+	require.False(t, draining("b"))
+
+	v.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), listedEndpoint("b", false)}, 11, now)
+	require.True(t, draining("a"), "the list has not heard of it")
+	v.applyEndpoints([]roster.Endpoint{listedEndpoint("b", false)}, 12, now)
+	v.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), listedEndpoint("b", false)}, 13, now)
+	require.True(t, draining("a"), "its entry had lapsed")
+
+	again := listedEndpoint("a", false)
+	again.Started++
+	v.applyEndpoints([]roster.Endpoint{again, listedEndpoint("b", false)}, 14, now)
+	require.False(t, draining("a"))
+}
--- a/pkg/gatewayd/gatewayd.go
+++ b/pkg/gatewayd/gatewayd.go
@@ -74,11 +74,11 @@
 		fx.NopLogger,
 		fx.StopTimeout(s.Bounds.Grace),
 		fx.Provide(
-			newIdentity, newLog, newLive, metrics.NewRegistry, newPlatform, newBackground, newListeners,
-			newBeliefs, newBoard, newRelay, newUpstream,
-			newPeers, newFleet, newAllowances, newOrders, newDispatcher, newSuspects, newGateway, newServers, newProcess,
+			newIdentity, newLog, newLiveSettings, metrics.NewRegistry, newPlatform, newBackground, newListeners,
+			newFleetView, newUpdateLog, newRelay, newUpstream,
+			newPeers, newCoordination, newAllowances, newOrders, newDispatcher, newSuspects, newGateway, newServers, newProcess,
 		),
-		fx.Invoke(connectLeases, registerServices),
+		fx.Invoke(connectComponents, registerServices),
 		fx.Populate(&d.process),
 		fx.Invoke(func(p *process, lc fx.Lifecycle) {
 			lc.Append(fx.Hook{
@@ -97,7 +97,7 @@
 }
 
 // Reload reads the settings again.
-func (d *Daemon) Reload() { d.process.parts.Live.reload() }
+func (d *Daemon) Reload() { d.process.components.LiveSettings.requestReload() }
 
 // Start starts every part.
 func (d *Daemon) Start(ctx context.Context) error { return d.app.Start(ctx) }
--- a/pkg/gatewayd/reload.go
+++ b/pkg/gatewayd/reload.go
@@ -12,138 +12,138 @@
 // Load reads the settings as they are now.
 type Load func() (Settings, error)
 
-// reloadPause is the time between two looks at the settings, which may change without a signal.
-const reloadPause = 2 * time.Second
+// reloadInterval is the time between two looks at the settings, which may change without a signal.
+const reloadInterval = 2 * time.Second
 
-// memoryShare is the part of the VM's memory that the garbage collector keeps the process below. The rest is
+// memoryLimitShare is the part of the VM's memory that the garbage collector keeps the process below. The rest is
 // for what it does not count: stacks of the C library, and what the kernel holds for sockets.
-const memoryShare = 0.7
-
-// live holds the settings in force. The parts read those that can change while the process runs through it.
-type live struct {
-	current atomic.Pointer[Settings]
-	load    Load
-	now     chan struct{}
-	log     logrus.FieldLogger
-	// refused is the last fault, so that it is logged once.
-	refused string
+const memoryLimitShare = 0.7
+
+// liveSettings holds the settings in force. The parts read those that can change while the process runs through it.
+type liveSettings struct {
+	current         atomic.Pointer[Settings]
+	load            Load
+	reloadRequested chan struct{}
+	log             logrus.FieldLogger
+	// lastError is the last fault, so that it is logged once.
+	lastError string
 }
 
-func newLive(s Settings, load Load, log logrus.FieldLogger) *live {
-	l := &live{load: load, now: make(chan struct{}, 1), log: log}
+func newLiveSettings(s Settings, load Load, log logrus.FieldLogger) *liveSettings {
+	l := &liveSettings{load: load, reloadRequested: make(chan struct{}, 1), log: log}
 	l.current.Store(&s)
-	limitMemory(s)
+	setMemoryLimit(s)
 	return l
 }
 
-func limitMemory(s Settings) {
+func setMemoryLimit(s Settings) {
 	if s.Limits.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.Limits.MemoryBytes)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.Limits.MemoryBytes)))
 	}
 }
 
 // bounds returns the bounds in force.
-func (l *live) bounds() Bounds { return l.current.Load().Bounds }
+func (l *liveSettings) bounds() Bounds { return l.current.Load().Bounds }
 
-// reload makes run read the settings at once.
-func (l *live) reload() {
+// requestReload makes run read the settings at once.
+func (l *liveSettings) requestReload() {
 	select {
-	case l.now <- struct{}{}:
+	case l.reloadRequested <- struct{}{}:
 	default:
 	}
 }
 
 // run reads the settings from time to time until ctx ends.
-func (l *live) run(ctx context.Context) {
-	ticker := time.NewTicker(reloadPause)
+func (l *liveSettings) run(ctx context.Context) {
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			l.look(false)
-		case <-l.now:
-			l.look(true)
+			l.reload(false)
+		case <-l.reloadRequested:
+			l.reload(true)
 		}
 	}
 }
 
-// look reads the settings and takes in what has changed. Settings that are not valid leave those in force as
+// reload reads the settings and takes in what has changed. Settings that are not valid leave those in force as
 // they are.
-func (l *live) look(asked bool) {
+func (l *liveSettings) reload(requested bool) {
 	read, err := l.load()
 	if err != nil {
-		if err.Error() != l.refused {
-			l.refused = err.Error()
+		if err.Error() != l.lastError {
+			l.lastError = err.Error()
 			l.log.WithError(err).WithField("event", "settings_refused").Error()
 		}
 		return
 	}
-	l.refused = ""
-	merged, applied, waiting := merge(*l.current.Load(), read)
-	if len(applied) == 0 && len(waiting) == 0 && !asked {
+	l.lastError = ""
+	merged, applied, needRestart := merge(*l.current.Load(), read)
+	if len(applied) == 0 && len(needRestart) == 0 && !requested {
 		return
 	}
 	l.current.Store(&merged)
-	limitMemory(merged)
-	if len(applied) > 0 || asked {
-		l.log.WithFields(logrus.Fields{"event": "settings_reloaded", "applied": applied, "need_restart": waiting}).Info()
+	setMemoryLimit(merged)
+	if len(applied) > 0 || requested {
+		l.log.WithFields(logrus.Fields{"event": "settings_reloaded", "applied": applied, "need_restart": needRestart}).Info()
 	}
 }
 
 // setting is a setting that may change while the process runs.
 type setting struct {
 	name  string
-	same  func(a, b *Settings) bool
-	apply func(to, from *Settings)
+	equal func(a, b *Settings) bool
+	set   func(to, from *Settings)
 }
 
-// changeable returns a setting that takes effect without a restart.
-func changeable[T comparable](name string, field func(*Settings) *T) setting {
+// reloadable returns a setting that takes effect without a restart.
+func reloadable[T comparable](name string, field func(*Settings) *T) setting {
 	return setting{
 		name:  name,
-		same:  func(a, b *Settings) bool { return *field(a) == *field(b) },
-		apply: func(to, from *Settings) { *field(to) = *field(from) },
+		equal: func(a, b *Settings) bool { return *field(a) == *field(b) },
+		set:   func(to, from *Settings) { *field(to) = *field(from) },
 	}
 }
 
-// fixed returns a setting that the process must be restarted for.
-func fixed[T comparable](name string, field func(*Settings) *T) setting {
-	s := changeable(name, field)
-	s.apply = nil
+// restartOnly returns a setting that the process must be restarted for.
+func restartOnly[T comparable](name string, field func(*Settings) *T) setting {
+	s := reloadable(name, field)
+	s.set = nil
 	return s
 }
 
-// all lists every setting.
-var all = []setting{
-	changeable("key_withdrawal", func(s *Settings) *time.Duration { return &s.Bounds.KeyWithdrawal }),
-	changeable("grace", func(s *Settings) *time.Duration { return &s.Bounds.Grace }),
-	changeable("memory", func(s *Settings) *int64 { return &s.Limits.MemoryBytes }),
-	fixed("vm", func(s *Settings) *string { return &s.VM }),
-	fixed("failure_domain", func(s *Settings) *string { return &s.FailureDomain }),
-	fixed("listen", func(s *Settings) *Listen { return &s.Listen }),
-	fixed("store", func(s *Settings) *string { return &s.Store }),
-	fixed("descriptors", func(s *Settings) *int { return &s.Limits.Descriptors }),
-	fixed("cores", func(s *Settings) *float64 { return &s.Limits.Cores }),
-	fixed("order_turns", func(s *Settings) *time.Duration { return &s.Bounds.OrderTurns }),
-	fixed("retries", func(s *Settings) *RetryBounds { return &s.Bounds.Retry }),
-	fixed("quota", func(s *Settings) *QuotaBounds { return &s.Bounds.Quota }),
+// allSettings lists every setting.
+var allSettings = []setting{
+	reloadable("key_withdrawal", func(s *Settings) *time.Duration { return &s.Bounds.KeyWithdrawal }),
+	reloadable("grace", func(s *Settings) *time.Duration { return &s.Bounds.Grace }),
+	reloadable("memory", func(s *Settings) *int64 { return &s.Limits.MemoryBytes }),
+	restartOnly("vm", func(s *Settings) *string { return &s.VM }),
+	restartOnly("failure_domain", func(s *Settings) *string { return &s.FailureDomain }),
+	restartOnly("listen", func(s *Settings) *Listen { return &s.Listen }),
+	restartOnly("store", func(s *Settings) *string { return &s.Store }),
+	restartOnly("descriptors", func(s *Settings) *int { return &s.Limits.Descriptors }),
+	restartOnly("cores", func(s *Settings) *float64 { return &s.Limits.Cores }),
+	restartOnly("order_turns", func(s *Settings) *time.Duration { return &s.Bounds.OrderTurns }),
+	restartOnly("retries", func(s *Settings) *RetryBounds { return &s.Bounds.Retry }),
+	restartOnly("quota", func(s *Settings) *QuotaBounds { return &s.Bounds.Quota }),
 }
 
 // merge returns the settings in force with what can be changed of those that were read, the names of the
 // settings that have changed so, and of those that wait for a restart.
-func merge(inForce, read Settings) (merged Settings, applied, waiting []string) {
-	merged = inForce
-	for _, s := range all {
+func merge(current, read Settings) (merged Settings, applied, needRestart []string) {
+	merged = current
+	for _, s := range allSettings {
 		switch {
-		case s.same(&inForce, &read):
-		case s.apply == nil:
-			waiting = append(waiting, s.name)
+		case s.equal(&current, &read):
+		case s.set == nil:
+			needRestart = append(needRestart, s.name)
 		default:
-			s.apply(&merged, &read)
+			s.set(&merged, &read)
 			applied = append(applied, s.name)
 		}
 	}
-	return merged, applied, waiting
+	return merged, applied, needRestart
 }
--- a/pkg/gatewayd/reload_test.go
+++ b/pkg/gatewayd/reload_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func sample() Settings {
+func sampleSettings() Settings {
 	return Settings{
 		VM: "a", FailureDomain: "d", Store: "1.2.3.4:5", Listen: Listen{Callers: "x", Readiness: "y", Peer: "z", Metrics: "m"},
 		Limits: Limits{MemoryBytes: 300 << 20, Descriptors: 4000, Cores: 0.4},
@@ -39,26 +39,26 @@
 	}
 }
 
-// leaves calls do with each field that is not a structure.
-func leaves(v reflect.Value, name string, do func(name string, v reflect.Value)) {
+// forEachField calls do with each field that is not a structure.
+func forEachField(v reflect.Value, name string, do func(name string, v reflect.Value)) {
 	if v.Kind() != reflect.Struct {
 		do(name, v)
 		return
 	}
 	for i := range v.NumField() {
-		leaves(v.Field(i), name+"."+v.Type().Field(i).Name, do)
+		forEachField(v.Field(i), name+"."+v.Type().Field(i).Name, do)
 	}
 }
 
 // Each setting is known to the reload, as one that takes effect or as one that needs a restart. Two are
 // left out: FirstStart tells of the past, and the level of the log comes from the command line.
-func TestEverySettingIsLookedAt(t *testing.T) {
-	read := sample()
-	leaves(reflect.ValueOf(&read).Elem(), "", func(name string, v reflect.Value) {
+func TestEverySettingIsComparedOnReload(t *testing.T) {
+	read := sampleSettings()
+	forEachField(reflect.ValueOf(&read).Elem(), "", func(name string, v reflect.Value) {
 		old := reflect.New(v.Type()).Elem()
 		old.Set(v)
 		change(t, v)
-		_, applied, waiting := merge(sample(), read)
+		_, applied, waiting := merge(sampleSettings(), read)
 		if name == ".FirstStart" || name == ".LogLevel" {
 			require.Empty(t, append(applied, waiting...), name)
 		} else {
@@ -68,30 +68,30 @@
 	})
 }
 
-func TestReloadAppliesWhatCanChange(t *testing.T) {
+func TestReloadAppliesReloadableSettings(t *testing.T) {
 	log, lines := test.NewNullLogger()
-	read := sample()
+	read := sampleSettings()
 	var fault error
-	l := newLive(sample(), func() (Settings, error) { return read, fault }, log)
-	l.look(false)
+	l := newLiveSettings(sampleSettings(), func() (Settings, error) { return read, fault }, log)
+	l.reload(false)
 	require.Empty(t, lines.Entries, "nothing has changed")
 
 	read.Bounds.KeyWithdrawal = 2 * time.Second
 	read.Store = "9.9.9.9:9"
-	l.look(false)
+	l.reload(false)
 	require.Equal(t, 2*time.Second, l.bounds().KeyWithdrawal)
 	require.Equal(t, "1.2.3.4:5", l.current.Load().Store)
 	require.Equal(t, "settings_reloaded", lines.LastEntry().Data["event"])
 	require.Equal(t, []string{"store"}, lines.LastEntry().Data["need_restart"])
 
 	fault = errors.New("grace is missing")
-	l.look(false)
-	l.look(false)
+	l.reload(false)
+	l.reload(false)
 	require.Len(t, lines.Entries, 2, "a fault is logged once")
 	require.Equal(t, "settings_refused", lines.LastEntry().Data["event"])
 	require.Equal(t, 2*time.Second, l.bounds().KeyWithdrawal)
 
 	fault = nil
-	l.look(true)
+	l.reload(true)
 	require.Equal(t, "settings_reloaded", lines.LastEntry().Data["event"], "a signal is answered in any case")
 }
--- a/pkg/gatewayd/state.go
+++ b/pkg/gatewayd/state.go
@@ -23,7 +23,7 @@
 	Draining      bool                     `json:"draining"`
 	Requests      int64                    `json:"requests"`
 	Config        ConfigState              `json:"config"`
-	News          relay.State              `json:"news"`
+	Relay         relay.State              `json:"news"`
 	Steward       bool                     `json:"steward"`
 	Leases        []LeaseState             `json:"leases"`
 	VMs           []VMState                `json:"vms"`
@@ -69,39 +69,39 @@
 
 // state returns the dump.
 func (p *process) state() any {
-	b, f := p.parts.Beliefs, p.parts.Fleet
+	view, coord := p.components.View, p.components.Coordination
 	s := State{
-		VM: p.parts.ID.vm, Incarnation: p.parts.ID.incarnation, FailureDomain: p.parts.Settings.FailureDomain,
-		Uptime: text(time.Since(p.parts.ID.started)), Ready: p.ready(), Draining: p.draining.Load(),
-		Requests: p.parts.Gateway.Running(), News: p.parts.Relay.State(), Steward: f.stewards.active(),
-		Leases: f.stewards.held(), EndpointsAge: text(b.endpointsAge()),
-		Engines: p.parts.Orders.State(), Accounts: p.parts.Allowances.holder.State(),
-		Suspects: p.parts.Suspects.watch.Suspects(),
+		VM: p.components.ID.vm, Incarnation: p.components.ID.incarnation, FailureDomain: p.components.Settings.FailureDomain,
+		Uptime: formatDuration(time.Since(p.components.ID.started)), Ready: p.ready(), Draining: p.draining.Load(),
+		Requests: p.components.Gateway.Running(), Relay: p.components.Relay.State(), Steward: coord.stewards.isSteward(),
+		Leases: coord.stewards.heldLeases(), EndpointsAge: formatDuration(view.endpointsAge()),
+		Engines: p.components.Orders.State(), Accounts: p.components.Allowances.holder.State(),
+		Suspects: p.components.Suspects.detector.Suspects(),
 	}
-	if rules := b.rules.Load(); rules != nil {
+	if rules := view.rules.Load(); rules != nil {
 		s.Config = ConfigState{
-			Version: rules.Bundle.Version, Age: text(b.rulesAge()), Routes: len(rules.Bundle.Routes),
+			Version: rules.Bundle.Version, Age: formatDuration(view.rulesAge()), Routes: len(rules.Bundle.Routes),
 			Groups: len(rules.Bundle.Groups), Accounts: len(rules.Bundle.Accounts),
 		}
 	}
-	for _, m := range f.stewards.Members() {
-		s.VMs = append(s.VMs, VMState{VM: m.ID, Address: m.PeerAddress, Gone: m.Gone, Silent: text(m.Silent)})
+	for _, m := range coord.stewards.Members() {
+		s.VMs = append(s.VMs, VMState{VM: m.ID, Address: m.PeerAddress, Gone: m.Gone, Silent: formatDuration(m.Silent)})
 	}
-	for _, e := range b.roster.View().All() {
+	for _, e := range view.roster.View().All() {
 		s.Endpoints = append(s.Endpoints, EndpointState{
 			Endpoint: e.ID, Group: e.Group, Address: e.Address, Draining: e.Draining,
-			Condition: p.parts.Dispatcher.Condition(e.Incarnation),
+			Condition: p.components.Dispatcher.Condition(e.Incarnation),
 		})
 	}
 	return s
 }
 
-func text(d time.Duration) string { return d.Round(time.Millisecond).String() }
+func formatDuration(d time.Duration) string { return d.Round(time.Millisecond).String() }
 
-// held returns the leases that this VM holds, by name.
-func (s *stewards) held() []LeaseState {
+// heldLeases returns the leases that this VM holds, by name.
+func (s *stewardSet) heldLeases() []LeaseState {
 	var leases []LeaseState
-	for name := range s.current().Holders {
+	for name := range s.currentDirectory().Holders {
 		if grant, ok := s.Held(name); ok {
 			leases = append(leases, LeaseState{Lease: name, Fencing: grant.Fencing})
 		}
--- a/pkg/gatewayd/stewards.go
+++ b/pkg/gatewayd/stewards.go
@@ -23,63 +23,63 @@
 	// stewardCount is the number of VMs that hold leases and read the store, if there are as many. More
 	// of them spread orders further, and each costs calls to the store.
 	stewardCount = 8
-	// volunteerStep is the time for which a VM with a whole core waits before it becomes a steward, and
-	// volunteerSpread the random time on top; weaker VMs wait longer, so that able ones come first.
-	volunteerStep   = 150 * time.Millisecond
-	volunteerSpread = 300 * time.Millisecond
-	// forgetAfter is how long a VM that is no longer spoken of is still counted.
-	forgetAfter = 10 * time.Second
+	// candidacyDelay is the time for which a VM with a whole core waits before it becomes a steward, and
+	// candidacyJitter the random time on top; weaker VMs wait longer, so that able ones come first.
+	candidacyDelay  = 150 * time.Millisecond
+	candidacyJitter = 300 * time.Millisecond
+	// vmExpiry is how long a VM that is no longer spoken of is still counted.
+	vmExpiry = 10 * time.Second
 )
 
-// stewards knows the VMs that hold leases, and makes this VM one of them when there are too few. It
+// stewardSet knows the VMs that hold leases, and makes this VM one of them when there are too few. It
 // implements lease.Lessor for all VMs.
-type stewards struct {
-	self    relay.VM
-	table   lister
-	members *membership.Registry
-	leases  *lease.Manager
-	board   *relay.Board
-	log     logrus.FieldLogger
+type stewardSet struct {
+	self      relay.VM
+	table     rowLister
+	members   *membership.Registry
+	leases    *lease.Manager
+	updateLog *relay.Board
+	log       logrus.FieldLogger
 
 	mu sync.RWMutex
 	// The fields below are guarded by mu.
 
-	running bool
+	steward bool
 	// draining says that the process is stopping: it does not become a steward any more.
-	draining  bool
-	directory lease.Directory
-	known     bool
-	vms       map[string]seenVM
+	draining       bool
+	directory      lease.Directory
+	directoryKnown bool
+	vms            map[string]knownVM
 }
 
-// lister lists the rows of mallowlink's own table. *follow.Mirror implements it.
-type lister interface {
+// rowLister lists the rows of mallowlink's own table. *follow.Mirror implements it.
+type rowLister interface {
 	List(ctx context.Context, prefix string) ([]platform.Row, error)
 }
 
-// seenVM is a VM that was spoken of at that time.
-type seenVM struct {
+// knownVM is a VM that was spoken of at that time.
+type knownVM struct {
 	relay.VM
-	at time.Time
+	seenAt time.Time
 }
 
-// active reports whether this VM holds leases, or wants to.
-func (s *stewards) active() bool {
+// isSteward reports whether this VM holds leases, or wants to.
+func (s *stewardSet) isSteward() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.running
+	return s.steward
 }
 
-// take takes in what was read or heard of the leases.
-func (s *stewards) take(d lease.Directory) {
+// setDirectory takes in what was read or heard of the leases.
+func (s *stewardSet) setDirectory(d lease.Directory) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.directory, s.known = d, true
+	s.directory, s.directoryKnown = d, true
 }
 
-// current returns what is known of the leases.
-func (s *stewards) current() lease.Directory {
-	if s.active() {
+// currentDirectory returns what is known of the leases.
+func (s *stewardSet) currentDirectory() lease.Directory {
+	if s.isSteward() {
 		return s.leases.Directory()
 	}
 	s.mu.RLock()
@@ -88,16 +88,16 @@
 }
 
 // list returns the stewards in the order in which VMs turn to them.
-func (s *stewards) list() []relay.VM {
+func (s *stewardSet) list() []relay.VM {
 	var list []relay.VM
-	for _, vm := range s.current().VMs {
+	for _, vm := range s.currentDirectory().VMs {
 		list = append(list, relay.VM{ID: vm.ID, Incarnation: vm.Incarnation, Address: vm.Address})
 	}
 	return list
 }
 
-// address returns where a VM takes calls.
-func (s *stewards) address(vm string) (string, bool) {
+// peerAddress returns where a VM takes calls.
+func (s *stewardSet) peerAddress(vm string) (string, bool) {
 	for _, m := range s.Members() {
 		if m.ID == vm && !m.Gone {
 			return m.PeerAddress, true
@@ -107,16 +107,16 @@
 }
 
 // Held implements lease.Lessor.
-func (s *stewards) Held(name string) (lease.Grant, bool) {
-	if !s.active() {
+func (s *stewardSet) Held(name string) (lease.Grant, bool) {
+	if !s.isSteward() {
 		return lease.Grant{}, false
 	}
 	return s.leases.Held(name)
 }
 
 // HolderOf implements lease.Lessor.
-func (s *stewards) HolderOf(name string) (lease.Holder, bool) {
-	if s.active() {
+func (s *stewardSet) HolderOf(name string) (lease.Holder, bool) {
+	if s.isSteward() {
 		return s.leases.HolderOf(name)
 	}
 	s.mu.RLock()
@@ -125,8 +125,8 @@
 	return holder, ok
 }
 
-// publish puts what this VM knows of the leases on the board.
-func (s *stewards) publish() {
+// publishDirectory puts what this VM knows of the leases on the board.
+func (s *stewardSet) publishDirectory() {
 	d := s.leases.Directory()
 	holders := make(map[string][]byte, len(d.Holders))
 	for name, holder := range d.Holders {
@@ -136,11 +136,11 @@
 	for _, vm := range d.VMs {
 		vms[vm.ID] = s.encode(vm)
 	}
-	s.board.Replace(relay.Leases, holders)
-	s.board.Replace(relay.Stewards, vms)
+	s.updateLog.Replace(relay.Leases, holders)
+	s.updateLog.Replace(relay.Stewards, vms)
 }
 
-func (s *stewards) encode(v any) []byte {
+func (s *stewardSet) encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
 		s.log.WithError(err).WithField("event", "lease_not_published").Error()
@@ -149,8 +149,8 @@
 }
 
 // run makes this VM a steward when there are too few, until ctx ends.
-func (s *stewards) run(ctx context.Context) {
-	if !s.awaitNeed(ctx) || !s.begin() {
+func (s *stewardSet) run(ctx context.Context) {
+	if !s.awaitVacancy(ctx) || !s.becomeSteward() {
 		return
 	}
 	s.log.WithField("event", "steward").Info()
@@ -160,61 +160,61 @@
 	loops.Wait()
 }
 
-// awaitNeed waits until the store shows that this VM is needed as a steward. It reports false if ctx ends
+// awaitVacancy waits until the store shows that this VM is needed as a steward. It reports false if ctx ends
 // before.
-func (s *stewards) awaitNeed(ctx context.Context) bool {
+func (s *stewardSet) awaitVacancy(ctx context.Context) bool {
 	s.awaitDirectory(ctx)
 	for ctx.Err() == nil {
 		if !s.wasSteward() {
-			clock.Sleep(ctx, s.hesitation())
+			clock.Sleep(ctx, s.candidacyWait())
 		}
 		if !s.needed() {
 			continue
 		}
 		// What was heard may be old, and others may have come first.
-		if err := s.look(ctx); err != nil {
+		if err := s.readDirectory(ctx); err != nil {
 			s.log.WithError(err).WithField("event", "leases_not_read").Warn()
 		} else if s.needed() {
 			return true
 		}
-		clock.Sleep(ctx, s.hesitation())
+		clock.Sleep(ctx, s.candidacyWait())
 	}
 	return false
 }
 
 // needed reports whether this VM should be a steward as far as it knows.
-func (s *stewards) needed() bool { return s.wasSteward() || s.due() }
+func (s *stewardSet) needed() bool { return s.wasSteward() || s.vacancy() }
 
-// heardOf returns the number of VMs that were spoken of lately.
-func (s *stewards) heardOf() int {
+// vmCount returns the number of VMs that were spoken of lately.
+func (s *stewardSet) vmCount() int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return len(s.vms)
 }
 
-// look reads the leases from the store. If that fails, what is known of them stays.
-func (s *stewards) look(ctx context.Context) error {
+// readDirectory reads the leases from the store. If that fails, what is known of them stays.
+func (s *stewardSet) readDirectory(ctx context.Context) error {
 	rows, err := s.table.List(ctx, "")
 	if err != nil {
 		return errors.Wrap(err, "list the leases")
 	}
-	s.take(lease.ReadDirectory(rows))
+	s.setDirectory(lease.ReadDirectory(rows))
 	return nil
 }
 
-// begin makes this VM a steward, unless its process is stopping.
-func (s *stewards) begin() bool {
+// becomeSteward makes this VM a steward, unless its process is stopping.
+func (s *stewardSet) becomeSteward() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running = !s.draining
-	return s.running
+	s.steward = !s.draining
+	return s.steward
 }
 
 // drain hands the leases over. A VM that is no steward has none.
-func (s *stewards) drain(ctx context.Context) error {
+func (s *stewardSet) drain(ctx context.Context) error {
 	s.mu.Lock()
 	s.draining = true
-	running := s.running
+	running := s.steward
 	s.mu.Unlock()
 	if !running {
 		return nil
@@ -222,39 +222,39 @@
 	return s.leases.Drain(ctx)
 }
 
-// hesitation returns how long this VM waits before it looks whether it is needed.
-func (s *stewards) hesitation() time.Duration {
-	return time.Duration(float64(volunteerStep+rand.N(volunteerSpread)) / max(s.self.Cores, 0.05))
+// candidacyWait returns how long this VM waits before it looks whether it is needed.
+func (s *stewardSet) candidacyWait() time.Duration {
+	return time.Duration(float64(candidacyDelay+rand.N(candidacyJitter)) / max(s.self.Cores, 0.05))
 }
 
 // awaitDirectory waits until something is known of the leases.
-func (s *stewards) awaitDirectory(ctx context.Context) {
+func (s *stewardSet) awaitDirectory(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.mu.RLock()
-		known := s.known
+		known := s.directoryKnown
 		s.mu.RUnlock()
 		if known {
 			return
 		}
-		clock.Sleep(ctx, directoryStep)
+		clock.Sleep(ctx, directoryPollInterval)
 	}
 }
 
-// directoryStep is the time between two looks at whether something is known of the leases.
-const directoryStep = 10 * time.Millisecond
+// directoryPollInterval is the time between two looks at whether something is known of the leases.
+const directoryPollInterval = 10 * time.Millisecond
 
 // wasSteward reports whether an earlier process on this VM was a steward, whose session has not ended.
-func (s *stewards) wasSteward() bool {
+func (s *stewardSet) wasSteward() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return slices.ContainsFunc(s.directory.VMs, func(vm lease.SessionVM) bool { return vm.ID == s.self.ID })
 }
 
-// due reports whether this VM is needed as a steward.
-func (s *stewards) due() bool {
+// vacancy reports whether this VM is needed as a steward.
+func (s *stewardSet) vacancy() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	if !s.known {
+	if !s.directoryKnown {
 		return false
 	}
 	able := 0
@@ -266,15 +266,15 @@
 	return able < stewardCount
 }
 
-// present takes in that a VM has asked this one, or has fallen silent.
-func (s *stewards) present(vm relay.VM) {
+// recordVM takes in that a VM has asked this one, or has fallen silent.
+func (s *stewardSet) recordVM(vm relay.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.vms[vm.ID] = seenVM{VM: vm, at: time.Now()}
+	s.vms[vm.ID] = knownVM{VM: vm, seenAt: time.Now()}
 }
 
-// heard takes in news of the VMs.
-func (s *stewards) heard(vms map[string][]byte, now time.Time) {
+// applyVMUpdates takes in news of the VMs.
+func (s *stewardSet) applyVMUpdates(vms map[string][]byte, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, data := range vms {
@@ -283,17 +283,17 @@
 			s.log.WithError(err).WithFields(logrus.Fields{"event": "vm_malformed", "vm": id}).Warn()
 			continue
 		}
-		s.vms[id] = seenVM{VM: vm, at: now}
+		s.vms[id] = knownVM{VM: vm, seenAt: now}
 	}
 	for id, vm := range s.vms {
-		if _, still := vms[id]; !still && now.Sub(vm.at) > forgetAfter {
+		if _, still := vms[id]; !still && now.Sub(vm.seenAt) > vmExpiry {
 			delete(s.vms, id)
 		}
 	}
 }
 
 // Members implements allowance.Fleet: all VMs that may spend tokens.
-func (s *stewards) Members() []membership.Member {
+func (s *stewardSet) Members() []membership.Member {
 	byID := map[string]membership.Member{
 		s.self.ID: {ID: s.self.ID, Incarnation: s.self.Incarnation, PeerAddress: s.self.Address},
 	}
@@ -301,12 +301,12 @@
 	for id, vm := range s.vms {
 		m := membership.Member{ID: id, Incarnation: vm.Incarnation, PeerAddress: vm.Address}
 		if vm.Silent {
-			m.Silent = forgetAfter
+			m.Silent = vmExpiry
 		}
 		byID[id] = m
 	}
 	s.mu.RUnlock()
-	if s.active() {
+	if s.isSteward() {
 		for _, m := range s.members.Members() {
 			byID[m.ID] = m
 		}
--- a/pkg/gatewayd/stewards_test.go
+++ b/pkg/gatewayd/stewards_test.go
@@ -14,33 +14,33 @@
 	"github.com/mallowlink/mallowlink/pkg/relay"
 )
 
-// downTable is a table that does not answer.
-type downTable struct{ asked int }
+// unavailableTable is a table that does not answer.
+type unavailableTable struct{ calls int }
 
-func (d *downTable) List(context.Context, string) ([]platform.Row, error) {
-	d.asked++
+func (d *unavailableTable) List(context.Context, string) ([]platform.Row, error) {
+	d.calls++
 	return nil, platform.ErrUnavailable
 }
 
 // A VM that is cut off from the store, and sees too few stewards, goes on asking the homes of accounts that
 // it knows: without them it would spend on its own.
-func TestStoreThatDoesNotAnswerTakesNoHolderAway(t *testing.T) {
+func TestKnownHoldersRemainWhileStoreIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, _ := test.NewNullLogger()
-		table := &downTable{}
-		s := &stewards{self: relay.VM{ID: "a", Cores: 1}, table: table, log: log, vms: map[string]seenVM{}}
+		table := &unavailableTable{}
+		s := &stewardSet{self: relay.VM{ID: "a", Cores: 1}, table: table, log: log, vms: map[string]knownVM{}}
 		name := lease.AccountPrefix + "north"
 		home := lease.Holder{VM: "b", Incarnation: "1", Address: "b:1", Fencing: 7}
-		s.take(lease.Directory{Holders: map[string]lease.Holder{name: home}, VMs: []lease.SessionVM{{ID: "b", Incarnation: "1", Address: "b:1"}}})
+		s.setDirectory(lease.Directory{Holders: map[string]lease.Holder{name: home}, VMs: []lease.SessionVM{{ID: "b", Incarnation: "1", Address: "b:1"}}})
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
 		s.run(ctx)
 
-		require.Positive(t, table.asked)
+		require.Positive(t, table.calls)
 		holder, ok := s.HolderOf(name)
 		require.True(t, ok)
 		require.Equal(t, home, holder)
 		require.Len(t, s.list(), 1)
-		require.False(t, s.active(), "no steward without the store")
+		require.False(t, s.isSteward(), "no steward without the store")
 	})
 }
--- a/pkg/gatewayd/reading.go
+++ b/pkg/gatewayd/storereader.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// operatorWait is how long one call waits for a change of the operator's rows. It bounds the time
+	// operatorLongPoll is how long one call waits for a change of the operator's rows. It bounds the time
 	// after which a VM knows that it has lost touch.
-	operatorWait = 800 * time.Millisecond
-	// endpointsPause is the time between two looks at the list of endpoints, in which something changes
+	operatorLongPoll = 800 * time.Millisecond
+	// endpointsPollInterval is the time between two looks at the list of endpoints, in which something changes
 	// with every heartbeat.
-	endpointsPause = 700 * time.Millisecond
-	// directoryPause is the time between two looks at the leases by a VM that holds none.
-	directoryPause = time.Second
+	endpointsPollInterval = 700 * time.Millisecond
+	// directoryReadInterval is the time between two looks at the leases by a VM that holds none.
+	directoryReadInterval = time.Second
 	// lapseGrace is how long after an outage of the store an endpoint that has gone from the list may
 	// come back to it: its entry may have lapsed meanwhile.
 	lapseGrace = 2200 * time.Millisecond
@@ -34,28 +34,28 @@
 // relay.Reader.
 type storeReader struct {
 	platform            Platform
-	beliefs             *beliefs
-	board               *relay.Board
-	stewards            *stewards
+	view                *fleetView
+	updateLog           *relay.Board
+	stewards            *stewardSet
 	log                 logrus.FieldLogger
 	operator, endpoints *follow.Follower
 
 	mu sync.Mutex
-	// listed are the rows of the list of endpoints, guarded by mu.
-	listed map[string]platform.Row
-	// position is that of the table that listed is of, guarded by mu.
-	position uint64
-	// kept are the endpoints that may come back to the list, guarded by mu.
-	kept map[string]roster.Endpoint
+	// endpointRows are the rows of the list of endpoints, guarded by mu.
+	endpointRows map[string]platform.Row
+	// endpointsPosition is that of the table that listed is of, guarded by mu.
+	endpointsPosition uint64
+	// lapsed are the endpoints that may come back to the list, guarded by mu.
+	lapsed map[string]roster.Endpoint
 }
 
-func newStoreReader(p Platform, b *beliefs, board *relay.Board, s *stewards, log logrus.FieldLogger) *storeReader {
-	r := &storeReader{platform: p, beliefs: b, board: board, stewards: s, log: log, kept: map[string]roster.Endpoint{}}
+func newStoreReader(p Platform, view *fleetView, updates *relay.Board, s *stewardSet, log logrus.FieldLogger) *storeReader {
+	r := &storeReader{platform: p, view: view, updateLog: updates, stewards: s, log: log, lapsed: map[string]roster.Endpoint{}}
 	r.operator = follow.New(follow.Config{
-		Name: "operator", Feed: p.Operator, Wait: operatorWait, Changed: r.takeOperator, Log: log,
+		Name: "operator", Feed: p.Operator, Wait: operatorLongPoll, Changed: r.onOperatorRows, Log: log,
 	})
 	r.endpoints = follow.New(follow.Config{
-		Name: "endpoints", Feed: p.Endpoints, Pause: endpointsPause, Changed: r.takeEndpoints, Log: log,
+		Name: "endpoints", Feed: p.Endpoints, Pause: endpointsPollInterval, Changed: r.onEndpointRows, Log: log,
 	})
 	return r
 }
@@ -66,7 +66,7 @@
 	loops.Go(func() { r.operator.Run(ctx) })
 	loops.Go(func() { r.endpoints.Run(ctx) })
 	loops.Go(func() { r.followDirectory(ctx) })
-	loops.Go(func() { r.confirm(ctx) })
+	loops.Go(func() { r.propagateConfirmations(ctx) })
 	loops.Wait()
 }
 
@@ -76,53 +76,53 @@
 	return clock.Elapsed(r.operator.Confirmed(), now), clock.Elapsed(r.endpoints.Confirmed(), now)
 }
 
-// confirmStep is the time between two looks at what the store has confirmed.
-const confirmStep = 50 * time.Millisecond
+// confirmInterval is the time between two looks at what the store has confirmed.
+const confirmInterval = 50 * time.Millisecond
 
-// confirm passes on what the store has confirmed until ctx ends.
-func (r *storeReader) confirm(ctx context.Context) {
+// propagateConfirmations passes on what the store has confirmed until ctx ends.
+func (r *storeReader) propagateConfirmations(ctx context.Context) {
 	for ctx.Err() == nil {
-		r.beliefs.confirm(r.operator.Confirmed(), r.endpoints.Confirmed())
-		clock.Sleep(ctx, confirmStep)
+		r.view.confirm(r.operator.Confirmed(), r.endpoints.Confirmed())
+		clock.Sleep(ctx, confirmInterval)
 	}
 }
 
-func (r *storeReader) takeOperator(rows map[string]platform.Row, _ uint64) {
+func (r *storeReader) onOperatorRows(rows map[string]platform.Row, _ uint64) {
 	values := make(map[string][]byte, len(rows))
 	for key, row := range rows {
 		values[key] = row.Value
 	}
-	r.beliefs.takeOperator(values)
-	r.board.Replace(relay.Operator, values)
+	r.view.applyOperatorRows(values)
+	r.updateLog.Replace(relay.Operator, values)
 }
 
-func (r *storeReader) takeEndpoints(rows map[string]platform.Row, position uint64) {
+func (r *storeReader) onEndpointRows(rows map[string]platform.Row, position uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.listed = make(map[string]platform.Row, len(rows))
+	r.endpointRows = make(map[string]platform.Row, len(rows))
 	for key, row := range rows {
-		r.listed[key] = row
+		r.endpointRows[key] = row
 	}
-	r.position = position
+	r.endpointsPosition = position
 	r.publishEndpoints(time.Now())
 }
 
 // publishEndpoints takes in the list of endpoints as it is, and those that may come back to it. r.mu is
 // held.
 func (r *storeReader) publishEndpoints(now time.Time) {
-	list := make([]roster.Endpoint, 0, len(r.listed))
-	for key, row := range r.listed {
+	list := make([]roster.Endpoint, 0, len(r.endpointRows))
+	for key, row := range r.endpointRows {
 		e, err := r.platform.DecodeEndpoint(key, row.Value)
 		if err != nil {
-			r.beliefs.logMalformed("endpoint_row_malformed", key, row.Value, err)
+			r.view.logMalformed("endpoint_row_malformed", key, row.Value, err)
 			continue
 		}
 		list = append(list, e)
 	}
-	list = append(list, r.lapsed(list, now)...)
+	list = append(list, r.lapsedEndpoints(list, now)...)
 	values := make(map[string][]byte, len(list))
 	for i := range list {
-		r.beliefs.seen(list[i])
+		r.view.onEndpointRead(list[i])
 		list[i].Loaded = nil
 		data, err := json.Marshal(list[i])
 		if err != nil {
@@ -131,32 +131,32 @@
 		}
 		values[list[i].ID] = data
 	}
-	r.board.Replace(relay.Endpoints, values)
+	r.updateLog.Replace(relay.Endpoints, values)
 	// Published after the list: news of the one without the other then seems older than it is.
-	r.board.Replace(relay.Positions, map[string][]byte{string(relay.Endpoints): []byte(strconv.FormatUint(r.position, 10))})
-	r.beliefs.takeEndpoints(list, r.position, r.endpoints.Confirmed())
+	r.updateLog.Replace(relay.Positions, map[string][]byte{string(relay.Endpoints): []byte(strconv.FormatUint(r.endpointsPosition, 10))})
+	r.view.applyEndpoints(list, r.endpointsPosition, r.endpoints.Confirmed())
 }
 
-// lapsed returns the endpoints that are off the list and may come back to it, because the store has
+// lapsedEndpoints returns the endpoints that are off the list and may come back to it, because the store has
 // returned from an outage lately. r.mu is held.
-func (r *storeReader) lapsed(list []roster.Endpoint, now time.Time) []roster.Endpoint {
+func (r *storeReader) lapsedEndpoints(list []roster.Endpoint, now time.Time) []roster.Endpoint {
 	until := r.endpoints.Returned().Add(lapseGrace)
 	if now.After(until) {
-		clear(r.kept)
+		clear(r.lapsed)
 		return nil
 	}
 	on := map[string]bool{}
 	for _, e := range list {
 		on[e.ID] = true
 	}
-	for _, e := range r.beliefs.roster.View().All() {
-		if !on[e.ID] && !e.Draining && r.kept[e.ID].ID == "" {
-			r.kept[e.ID] = e
+	for _, e := range r.view.roster.View().All() {
+		if !on[e.ID] && !e.Draining && r.lapsed[e.ID].ID == "" {
+			r.lapsed[e.ID] = e
 			r.log.WithFields(logrus.Fields{"event": "endpoint_lapsed", "endpoint": e.ID, "kept_for": until.Sub(now).Round(time.Millisecond)}).Info()
 		}
 	}
 	var kept []roster.Endpoint
-	for id, e := range r.kept {
+	for id, e := range r.lapsed {
 		if !on[id] {
 			e.Kept = true
 			kept = append(kept, e)
@@ -175,11 +175,11 @@
 // followDirectory keeps what is known of the leases up to date while this VM holds none itself.
 func (r *storeReader) followDirectory(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !r.stewards.active() {
-			if err := r.stewards.look(ctx); err != nil && ctx.Err() == nil {
+		if !r.stewards.isSteward() {
+			if err := r.stewards.readDirectory(ctx); err != nil && ctx.Err() == nil {
 				r.log.WithError(err).WithField("event", "leases_not_read").Warn()
 			}
 		}
-		clock.Sleep(ctx, directoryPause)
+		clock.Sleep(ctx, directoryReadInterval)
 	}
 }
--- /dev/null
+++ b/pkg/gatewayd/updates.go
@@ -0,0 +1,117 @@
+package gatewayd
+
+import (
+	"encoding/json"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"github.com/mallowlink/mallowlink/pkg/lease"
+	"github.com/mallowlink/mallowlink/pkg/relay"
+	"github.com/mallowlink/mallowlink/pkg/roster"
+)
+
+// updateApplier takes in what other VMs have read.
+type updateApplier struct {
+	view     *fleetView
+	stewards *stewardSet
+	log      logrus.FieldLogger
+
+	mu sync.Mutex
+	// entries are the entries known, guarded by mu.
+	entries map[relay.Topic]map[string][]byte
+}
+
+func newUpdateApplier(view *fleetView, s *stewardSet, log logrus.FieldLogger) *updateApplier {
+	return &updateApplier{view: view, stewards: s, log: log, entries: map[relay.Topic]map[string][]byte{}}
+}
+
+// apply implements relay.Config.Apply.
+func (a *updateApplier) apply(entries []relay.Entry, full bool, operator, endpoints time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	changed := a.storeEntries(entries, full)
+	if changed[relay.Operator] {
+		a.view.applyOperatorRows(a.entries[relay.Operator])
+	}
+	if changed[relay.Endpoints] || changed[relay.Positions] {
+		a.applyEndpoints(endpoints)
+	}
+	if changed[relay.Leases] || changed[relay.Stewards] {
+		a.applyDirectory()
+	}
+	if changed[relay.VMs] {
+		a.stewards.applyVMUpdates(a.entries[relay.VMs], time.Now())
+	}
+	a.view.confirm(operator, endpoints)
+}
+
+// storeEntries keeps the entries and returns the topics that have changed. n.mu is held.
+func (a *updateApplier) storeEntries(entries []relay.Entry, full bool) map[relay.Topic]bool {
+	changed := map[relay.Topic]bool{}
+	if full {
+		for topic := range a.entries {
+			changed[topic] = true
+		}
+		clear(a.entries)
+	}
+	for _, e := range entries {
+		changed[e.Topic] = true
+		if a.entries[e.Topic] == nil {
+			a.entries[e.Topic] = map[string][]byte{}
+		}
+		if e.Removed {
+			delete(a.entries[e.Topic], e.Key)
+			continue
+		}
+		a.entries[e.Topic][e.Key] = e.Value
+	}
+	return changed
+}
+
+// applyEndpoints takes in the list of endpoints, which was current at confirmed. n.mu is held.
+func (a *updateApplier) applyEndpoints(confirmed time.Time) {
+	var position uint64
+	key := string(relay.Endpoints)
+	if data, known := a.entries[relay.Positions][key]; known && !a.decode(relay.Positions, key, data, &position) {
+		return
+	}
+	var list []roster.Endpoint
+	for key, data := range a.entries[relay.Endpoints] {
+		var e roster.Endpoint
+		if !a.decode(relay.Endpoints, key, data, &e) {
+			continue
+		}
+		list = append(list, e)
+	}
+	a.view.applyEndpoints(list, position, confirmed)
+}
+
+// applyDirectory takes in what is known of the leases. n.mu is held.
+func (a *updateApplier) applyDirectory() {
+	d := lease.Directory{Holders: map[string]lease.Holder{}}
+	for name, data := range a.entries[relay.Leases] {
+		var holder lease.Holder
+		if a.decode(relay.Leases, name, data, &holder) {
+			d.Holders[name] = holder
+		}
+	}
+	for id, data := range a.entries[relay.Stewards] {
+		var vm lease.SessionVM
+		if a.decode(relay.Stewards, id, data, &vm) {
+			d.VMs = append(d.VMs, vm)
+		}
+	}
+	lease.OrderVMs(d.VMs)
+	a.stewards.setDirectory(d)
+}
+
+// decode reads an entry. It reports false, and logs, if that fails.
+func (a *updateApplier) decode(topic relay.Topic, key string, data []byte, to any) bool {
+	if err := json.Unmarshal(data, to); err != nil {
+		a.log.WithError(err).WithFields(logrus.Fields{"event": "news_malformed", "topic": topic, "key": key}).Warn()
+		return false
+	}
+	return true
+}
--- a/pkg/gatewayd/parts.go
+++ b/pkg/gatewayd/wiring.go
@@ -73,7 +73,7 @@
 	return background{ctx, cancel}
 }
 
-// listeners are bound before anything starts, so that a port in use is found at once.
+// leaseListeners are bound before anything starts, so that a port in use is found at once.
 type listeners struct {
 	callers, readiness, peer, metrics net.Listener
 }
@@ -122,14 +122,14 @@
 	metricLeaving = "upstream.leaving"
 )
 
-func newUpstream(p Platform, b *beliefs, registry metrics.Registry) outbound {
+func newUpstream(p Platform, view *fleetView, registry metrics.Registry) outbound {
 	pools := upstream.NewPools()
 	dials := metrics.GetOrRegisterCounter(metricDials, registry)
 	leaving := metrics.GetOrRegisterCounter(metricLeaving, registry)
 	return outbound{pools: pools, client: upstream.NewClient(pools, p.Dialect, upstream.Events{
 		Dialed: func() { dials.Inc(1) },
 		Leaving: func(target upstream.Target) {
-			if b.takeLeaving(roster.Incarnation{ID: target.ID, Started: target.Started}) {
+			if view.recordLeaving(roster.Incarnation{ID: target.ID, Started: target.Started}) {
 				leaving.Inc(1)
 			}
 		},
@@ -157,83 +157,83 @@
 	}
 }
 
-// fleet is what the process knows of the other VMs, and its leases.
-type fleet struct {
-	members   *membership.Registry
-	leases    *lease.Manager
-	stewards  *stewards
-	listeners *listenerSet
+// coordination is what the process knows of the other VMs, and its leases.
+type coordination struct {
+	members        *membership.Registry
+	leases         *lease.Manager
+	stewards       *stewardSet
+	leaseListeners *leaseListeners
 	// table is mallowlink's own table.
 	table *follow.Mirror
 }
 
-func newFleet(s Settings, id identity, p Platform, b *beliefs, board *relay.Board, pp peers, log logrus.FieldLogger) fleet {
+func newCoordination(s Settings, id identity, p Platform, view *fleetView, updates *relay.Board, pp peers, log logrus.FieldLogger) coordination {
 	members := membership.New(membership.Config{
 		ID:            id.vm,
 		Incarnation:   id.incarnation,
 		FailureDomain: s.FailureDomain,
 		PeerAddress:   s.Listen.peerAddress(),
 	}, nil, pp.pool, log)
-	set := &listenerSet{}
+	subscribers := &leaseListeners{}
 	table := follow.NewMirror(p.Fleet)
-	stew := &stewards{
+	stewards := &stewardSet{
 		self: relay.VM{
 			ID: id.vm, Incarnation: id.incarnation, Address: s.Listen.peerAddress(),
 			FailureDomain: s.FailureDomain, Cores: s.Limits.Cores,
 		},
-		table: table, members: members, board: board, log: log, vms: map[string]seenVM{},
+		table: table, members: members, updateLog: updates, log: log, vms: map[string]knownVM{},
 	}
 	leases := lease.NewManager(lease.Config{
 		ID:          id.vm,
 		Incarnation: id.incarnation,
 		Address:     s.Listen.peerAddress(),
 		Capacity:    s.Limits.Cores,
-		ListPeriod:  listPeriod,
-		Period:      renewPeriod,
+		ListPeriod:  leaseListInterval,
+		Period:      leaseRenewInterval,
 		Duration:    s.Bounds.OrderTurns,
-		Listed:      stew.publish,
-		Note:        func(name string) []byte { return set.note(name) },
-		Names:       func() []string { return leaseNames(b) },
-	}, table, members, pp.pool, set, log)
-	stew.leases = leases
-	return fleet{members: members, leases: leases, stewards: stew, listeners: set, table: table}
+		Listed:      stewards.publishDirectory,
+		Note:        func(name string) []byte { return subscribers.note(name) },
+		Names:       func() []string { return leaseNames(view) },
+	}, table, members, pp.pool, subscribers, log)
+	stewards.leases = leases
+	return coordination{members: members, leases: leases, stewards: stewards, leaseListeners: subscribers, table: table}
 }
 
-// listPeriod is the time between two listings of the leases while nothing happens. It is less than a
+// leaseListInterval is the time between two listings of the leases while nothing happens. It is less than a
 // lease lasts, so that a VM can act on its peers' word as soon as the table is down.
-const listPeriod = 1900 * time.Millisecond
+const leaseListInterval = 1900 * time.Millisecond
 
-// renewPeriod is the time between two renewals of a VM's leases. Two of them fit into the time that a
+// leaseRenewInterval is the time between two renewals of a VM's leases. Two of them fit into the time that a
 // lease lasts.
-const renewPeriod = 1200 * time.Millisecond
+const leaseRenewInterval = 1200 * time.Millisecond
 
 // leaseNames returns the leases that some VM should hold.
-func leaseNames(b *beliefs) []string {
+func leaseNames(view *fleetView) []string {
 	names := orders.LeaseNames()
-	for _, account := range b.accounts() {
+	for _, account := range view.accountNames() {
 		names = append(names, lease.AccountPrefix+account)
 	}
 	return names
 }
 
-// listenerSet passes leases gained and lost on to every part that acts under leases. It is filled
+// leaseListeners passes leases gained and lost on to every part that acts under leases. It is filled
 // before the leases run.
-type listenerSet struct {
-	parts []lease.Listener
+type leaseListeners struct {
+	listeners []lease.Listener
 	// note returns what to write down of a lease with each renewal.
 	note func(name string) []byte
 }
 
 // LeaseGained implements lease.Listener.
-func (s *listenerSet) LeaseGained(grant lease.Grant) {
-	for _, part := range s.parts {
+func (s *leaseListeners) LeaseGained(grant lease.Grant) {
+	for _, part := range s.listeners {
 		part.LeaseGained(grant)
 	}
 }
 
 // LeaseLost implements lease.Listener.
-func (s *listenerSet) LeaseLost(name string) {
-	for _, part := range s.parts {
+func (s *leaseListeners) LeaseLost(name string) {
+	for _, part := range s.listeners {
 		part.LeaseLost(name)
 	}
 }
@@ -244,28 +244,28 @@
 	holder *allowance.Holder
 }
 
-func newAllowances(s Settings, bg background, id identity, f fleet, b *beliefs, pp peers, log logrus.FieldLogger) allowances {
+func newAllowances(s Settings, bg background, id identity, coord coordination, view *fleetView, pp peers, log logrus.FieldLogger) allowances {
 	policy := allowance.Policy{Window: s.Bounds.Quota.Window, Overage: s.Bounds.Quota.Overage, Slack: s.Bounds.Quota.Slack}
 	home := allowance.NewHome(bg, allowance.HomeConfig{
-		Policy: policy, Limits: b.limit, Lessor: f.stewards, Fleet: f.stewards,
+		Policy: policy, Limits: view.accountLimit, Lessor: coord.stewards, Fleet: coord.stewards,
 		Caller: pp.pool, Log: log,
 	})
 	holder := allowance.NewHolder(bg, allowance.HolderConfig{
-		Self: id.vm, Incarnation: id.incarnation, Started: id.started, FirstStart: s.FirstStart, Policy: policy, Limits: b.limit,
-		Home: home, Lessor: f.stewards, Fleet: f.stewards, Caller: pp.pool, Log: log,
+		Self: id.vm, Incarnation: id.incarnation, Started: id.started, FirstStart: s.FirstStart, Policy: policy, Limits: view.accountLimit,
+		Home: home, Lessor: coord.stewards, Fleet: coord.stewards, Caller: pp.pool, Log: log,
 	})
 	return allowances{home: home, holder: holder}
 }
 
-func newOrders(s Settings, bg background, id identity, p Platform, f fleet, b *beliefs, out outbound, pp peers, registry metrics.Registry, log logrus.FieldLogger) *orders.Service {
+func newOrders(s Settings, bg background, id identity, p Platform, coord coordination, view *fleetView, out outbound, pp peers, registry metrics.Registry, log logrus.FieldLogger) *orders.Service {
 	return orders.NewService(bg, orders.Config{
 		Self:    id.vm,
-		Leases:  f.stewards,
+		Leases:  coord.stewards,
 		Engines: p.Engines(out.client),
-		Roster:  b.roster,
-		Spec:    b.spec,
-		Newest:  b.newestOf,
-		Address: f.stewards.address,
+		Roster:  view.roster,
+		Spec:    view.engineSpec,
+		Newest:  view.newestVersion,
+		Address: coord.stewards.peerAddress,
 		Caller:  pp.pool,
 		Turns:   s.Bounds.OrderTurns,
 		Started: id.started,
@@ -274,18 +274,18 @@
 	})
 }
 
-func newDispatcher(s Settings, id identity, p Platform, out outbound, f fleet, b *beliefs, o *orders.Service, pp peers, registry metrics.Registry, log logrus.FieldLogger) *dispatch.Dispatcher {
+func newDispatcher(s Settings, id identity, p Platform, out outbound, coord coordination, view *fleetView, o *orders.Service, pp peers, registry metrics.Registry, log logrus.FieldLogger) *dispatch.Dispatcher {
 	return dispatch.New(dispatch.Config{
 		Self:          id.vm,
 		Incarnation:   id.incarnation,
 		FailureDomain: s.FailureDomain,
-		Roster:        b.roster,
+		Roster:        view.roster,
 		Orders:        o,
-		Leases:        f.stewards,
+		Leases:        coord.stewards,
 		Caller:        pp.pool,
 		Engines:       p.Engines(out.client),
-		RosterAge:     b.endpointsAge,
-		Newest:        b.newestOf,
+		RosterAge:     view.endpointsAge,
+		Newest:        view.newestVersion,
 		Metrics:       registry,
 		Log:           log,
 	})
@@ -293,102 +293,102 @@
 
 // suspects keep requests that crash the endpoints that run them from endpoints.
 type suspects struct {
-	watch *suspect.Watch
-	share *suspect.Share
-	rows  *suspect.Rows
+	detector *suspect.Watch
+	syncer   *suspect.Share
+	store    *suspect.Rows
 }
 
-func newSuspects(bg background, id identity, p Platform, f fleet, b *beliefs, out outbound, pp peers, registry metrics.Registry, log logrus.FieldLogger) suspects {
+func newSuspects(bg background, id identity, p Platform, coord coordination, view *fleetView, out outbound, pp peers, registry metrics.Registry, log logrus.FieldLogger) suspects {
 	table := suspect.NewTable(suspect.DirectLimits())
-	share := suspect.NewShare(id.vm, table, pp.pool, f.stewards.Members, log)
-	watch := suspect.NewWatch(bg, suspect.WatchConfig{
-		Table: table, Prober: p.Probes(out.client, b.group), Listed: b.listed, Told: share.Wake, Metrics: registry, Log: log,
+	syncer := suspect.NewShare(id.vm, table, pp.pool, coord.stewards.Members, log)
+	detector := suspect.NewWatch(bg, suspect.WatchConfig{
+		Table: table, Prober: p.Probes(out.client, view.group), Listed: view.listing, Told: syncer.Wake, Metrics: registry, Log: log,
 	})
-	share.Follow(watch)
-	return suspects{watch: watch, share: share, rows: suspect.NewRows(share, f.table)}
+	syncer.Follow(detector)
+	return suspects{detector: detector, syncer: syncer, store: suspect.NewRows(syncer, coord.table)}
 }
 
 // run passes on what is found until ctx ends.
 func (s suspects) run(ctx context.Context) {
-	go s.rows.Run(ctx)
-	s.share.Run(ctx)
+	go s.store.Run(ctx)
+	s.syncer.Run(ctx)
 }
 
-func newGateway(s Settings, l *live, f fleet, p Platform, b *beliefs, a allowances, d *dispatch.Dispatcher, sus suspects, out outbound, registry metrics.Registry, log logrus.FieldLogger) *gateway.Gateway {
+func newGateway(s Settings, l *liveSettings, coord coordination, p Platform, view *fleetView, a allowances, d *dispatch.Dispatcher, sus suspects, out outbound, registry metrics.Registry, log logrus.FieldLogger) *gateway.Gateway {
 	return gateway.New(gateway.Config{
-		Rules:      b.rules.Load,
-		KeysValid:  func() bool { return keysValid(b, l.bounds()) },
-		RulesAge:   b.rulesAge,
+		Rules:      view.rules.Load,
+		KeysValid:  func() bool { return keysValid(view, l.bounds()) },
+		RulesAge:   view.rulesAge,
 		Dialect:    p.Dialect,
 		Quota:      a.holder,
 		Dispatcher: d,
 		Upstream:   out.client,
-		Suspects:   sus.watch,
-		Memory:     newMemory(s, registry),
-		Retries:    newRetries(s.Bounds.Retry, f.stewards).of,
+		Suspects:   sus.detector,
+		Memory:     newBufferBudget(s, registry),
+		Retries:    newRetryLimiter(s.Bounds.Retry, coord.stewards).window,
 		Metrics:    registry,
 		Log:        log,
 	})
 }
 
 const (
-	// heldShare is the part of a VM's memory that bodies and answers under way may take, and heldDefault what they may take
+	// bufferMemoryShare is the part of a VM's memory that bodies and answers under way may take, and defaultBufferBytes what they may take
 	// where the settings do not bound it.
-	heldShare   = 0.2
-	heldDefault = 64 << 20
-	// metricHeld is the gauge of what they take, in bytes.
-	metricHeld = "gateway.memory_held"
+	bufferMemoryShare  = 0.2
+	defaultBufferBytes = 64 << 20
+	// metricBufferMemory is the gauge of what they take, in bytes.
+	metricBufferMemory = "gateway.memory_held"
 )
 
-func newMemory(s Settings, registry metrics.Registry) *memory.Budget {
-	limit := int64(heldShare * float64(s.Limits.MemoryBytes))
+func newBufferBudget(s Settings, registry metrics.Registry) *memory.Budget {
+	limit := int64(bufferMemoryShare * float64(s.Limits.MemoryBytes))
 	if limit == 0 {
-		limit = heldDefault
+		limit = defaultBufferBytes
 	}
 	budget := memory.NewBudget(limit)
-	metrics.NewRegisteredFunctionalGauge(metricHeld, registry, budget.Used)
+	metrics.NewRegisteredFunctionalGauge(metricBufferMemory, registry, budget.Used)
 	return budget
 }
 
-// keyShare is the part of the time within which a withdrawn key must stop working for which a VM without
+// keyValidityShare is the part of the time within which a withdrawn key must stop working for which a VM without
 // news goes on serving keys. The rest is for changes that a feed passes on late, and for requests on
 // their way.
-const keyShare = 0.7
+const keyValidityShare = 0.7
 
 // keysValid reports whether no key can have been withdrawn for so long that it must no longer work without
 // this VM knowing.
-func keysValid(b *beliefs, bounds Bounds) bool {
-	return b.rulesAge().Seconds() < keyShare*bounds.KeyWithdrawal.Seconds()
+func keysValid(view *fleetView, bounds Bounds) bool {
+	return view.rulesAge().Seconds() < keyValidityShare*bounds.KeyWithdrawal.Seconds()
 }
 
-func newBoard(id identity) *relay.Board { return relay.NewBoard(id.incarnation) }
+func newUpdateLog(id identity) *relay.Board { return relay.NewBoard(id.incarnation) }
 
-func newRelay(bg background, p Platform, b *beliefs, board *relay.Board, f fleet, pp peers, log logrus.FieldLogger) *relay.Node {
+func newRelay(bg background, p Platform, view *fleetView, updates *relay.Board, coord coordination, pp peers, log logrus.FieldLogger) *relay.Node {
 	return relay.New(bg, relay.Config{
-		Self:     f.stewards.self,
-		Board:    board,
-		Reader:   newStoreReader(p, b, board, f.stewards, log),
+		Self:     coord.stewards.self,
+		Board:    updates,
+		Reader:   newStoreReader(p, view, updates, coord.stewards, log),
 		Caller:   pp.pool,
-		Stewards: f.stewards.list,
-		Fleet:    f.stewards.heardOf,
-		Look:     f.stewards.look,
-		Present:  f.stewards.present,
-		Apply:    newNews(b, f.stewards, log).apply,
+		Stewards: coord.stewards.list,
+		Fleet:    coord.stewards.vmCount,
+		Look:     coord.stewards.readDirectory,
+		Present:  coord.stewards.recordVM,
+		Apply:    newUpdateApplier(view, coord.stewards, log).apply,
 		Log:      log,
 	})
 }
 
 const (
-	// retryCaution is the part of the fleet-wide bound of repeats that the VMs use: requests spread
+	// usableRetryShare is the part of the fleet-wide bound of repeats that the VMs use: requests spread
 	// unevenly over the VMs and over the window.
-	retryCaution = 0.8
+	usableRetryShare = 0.8
 	// maxRetryReserve bounds the repeats of one VM without any traffic. A VM that has just started may
 	// know of no other.
 	maxRetryReserve = 4
 )
 
-// retries bound the repeated requests to each group.
-type retries struct {
+// retryLimiter bound the repeated requests to each group.
+type retryLimiter struct {
 	bounds RetryBounds
 	fleet  allowance.Fleet
 
@@ -396,70 +396,70 @@
 	// The fields below are guarded by mu.
 
 	windows map[string]*retry.Window // by group
-	// most is the greatest number of VMs that this one has known of at once. VMs that are cut off from each other
+	// maxMembers is the greatest number of VMs that this one has known of at once. VMs that are cut off from each other
 	// must not each take the repeats of a small fleet.
-	most int
+	maxMembers int
 }
 
-func newRetries(b RetryBounds, f allowance.Fleet) *retries {
-	return &retries{bounds: b, fleet: f, windows: map[string]*retry.Window{}}
+func newRetryLimiter(b RetryBounds, f allowance.Fleet) *retryLimiter {
+	return &retryLimiter{bounds: b, fleet: f, windows: map[string]*retry.Window{}}
 }
 
 // reserve returns this VM's part of the repeats that the fleet may make without any traffic.
-func (r *retries) reserve() float64 {
+func (r *retryLimiter) reserve() float64 {
 	members := len(r.fleet.Members())
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.most = max(r.most, members)
-	return min(retryCaution*r.bounds.Reserve/float64(r.most), maxRetryReserve)
+	r.maxMembers = max(r.maxMembers, members)
+	return min(usableRetryShare*r.bounds.Reserve/float64(r.maxMembers), maxRetryReserve)
 }
 
-func (r *retries) of(group string) *retry.Window {
+func (r *retryLimiter) window(group string) *retry.Window {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.windows[group]
 	if w == nil {
-		w = retry.NewWindow(r.bounds.Window, r.bounds.Share*retryCaution, r.reserve)
+		w = retry.NewWindow(r.bounds.Window, r.bounds.Share*usableRetryShare, r.reserve)
 		r.windows[group] = w
 	}
 	return w
 }
 
-// connectLeases tells every part that acts under leases of leases gained and lost, and the leases and
+// connectComponents tells every part that acts under leases of leases gained and lost, and the leases and
 // orders of what has changed.
-func connectLeases(f fleet, b *beliefs, o *orders.Service, a allowances, d *dispatch.Dispatcher, p *process) {
-	b.seen = d.Seen
-	f.listeners.parts = []lease.Listener{o, a.home}
-	f.listeners.note = a.home.Note
-	f.members.SetStatus(func() membership.Status {
-		storeDown, leaseSeen, claims := f.leases.Status()
+func connectComponents(coord coordination, view *fleetView, o *orders.Service, a allowances, d *dispatch.Dispatcher, p *process) {
+	view.onEndpointRead = d.Seen
+	coord.leaseListeners.listeners = []lease.Listener{o, a.home}
+	coord.leaseListeners.note = a.home.Note
+	coord.members.SetStatus(func() membership.Status {
+		storeDown, leaseSeen, claims := coord.leases.Status()
 		return membership.Status{
 			Draining:      p.draining.Load(),
-			BundleVersion: b.version(),
+			BundleVersion: view.configVersion(),
 			StoreDown:     storeDown,
 			LeaseSeen:     leaseSeen,
 			Claims:        claims,
 		}
 	})
-	f.members.OnChange(f.leases.Wake)
-	b.changed = func() {
+	coord.members.OnChange(coord.leases.Wake)
+	view.onChange = func() {
 		o.Refresh()
-		f.leases.Wake()
+		coord.leases.Wake()
 	}
 }
 
 // registerServices offers this VM's services to the other VMs.
-func registerServices(pp peers, f fleet, a allowances, o *orders.Service, n *relay.Node, sus suspects) error {
+func registerServices(pp peers, coord coordination, a allowances, o *orders.Service, n *relay.Node, sus suspects) error {
 	services := []struct {
 		name     string
 		receiver any
 	}{
-		{membership.ServiceName, f.members.Service()},
-		{lease.ServiceName, f.leases.Service()},
+		{membership.ServiceName, coord.members.Service()},
+		{lease.ServiceName, coord.leases.Service()},
 		{allowance.ServiceName, allowance.NewService(a.home, a.holder)},
 		{orders.ServiceName, o},
 		{relay.ServiceName, n.Service()},
-		{suspect.ServiceName, sus.share.Service()},
+		{suspect.ServiceName, sus.syncer.Service()},
 	}
 	for _, service := range services {
 		if err := pp.server.Register(service.name, service.receiver); err != nil {
