--- a/pkg/gatewayd/drain.go
+++ b/pkg/gatewayd/drain.go
@@ -9,28 +9,29 @@
 	"github.com/mallowlink/mallowlink/pkg/clock"
 )
 
-// balancerDelay is how long a stopping process still takes new connections: the balancer notices within two
-// of its questions.
+// balancerDelay is how long a stopping process still accepts new connections. The balancer notices within two
+// of its readiness checks that the process is not ready.
 const balancerDelay = 2500 * time.Millisecond
 
-// drainer ends the work of a process for others. Its functions return once they are done, or when their
-// context ends.
+// drainer ends the work of a process on behalf of other VMs and callers. Its functions return when they are
+// done or their context ends.
 type drainer struct {
-	// handOver hands the leases over; shutDown takes no more requests and waits for those under way.
+	// handOver hands the leases over. shutDown accepts no more requests and waits for those under way.
 	handOver, shutDown func(ctx context.Context) error
 	log                logrus.FieldLogger
 }
 
-// run drains until both are done or ctx ends. Requests are taken no longer than the balancer needs to
-// notice, also while leases cannot be handed over: one that came later could be cut.
+// run returns when both functions are done or ctx ends. Requests are accepted no longer than the balancer needs
+// to notice, even if leases cannot be handed over by then, because requests that arrive later could be
+// interrupted.
 func (d drainer) run(ctx context.Context) {
 	handedOver := make(chan error, 1)
 	go func() { handedOver <- d.handOver(ctx) }()
 	clock.Sleep(ctx, balancerDelay)
 	if err := d.shutDown(ctx); err != nil {
-		d.log.WithFields(logrus.Fields{"event": "drain_cut", "error": err.Error()}).Warn()
+		d.log.WithFields(logrus.Fields{"event": "drain_cut", "error": err.Error()}).Warn("requests were not completed before the end of the drain")
 	}
 	if err := <-handedOver; err != nil {
-		d.log.WithFields(logrus.Fields{"event": "handover_incomplete", "error": err.Error()}).Warn()
+		d.log.WithFields(logrus.Fields{"event": "handover_incomplete", "error": err.Error()}).Warn("not all leases were handed over")
 	}
 }
--- a/pkg/gatewayd/drain_test.go
+++ b/pkg/gatewayd/drain_test.go
@@ -10,11 +10,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// grace is the time that a stopping process has in the tests.
+// grace is the time between SIGTERM and SIGKILL in the tests.
 const grace = 7 * time.Second
 
-// A process whose leases cannot be handed over stops taking requests all the same: one taken shortly before
-// SIGKILL would be cut.
+// A stopping process must stop accepting requests after balancerDelay even if its leases cannot be handed over.
+// A request that it accepted shortly before SIGKILL would be interrupted.
 func TestDrainStopsAcceptingRequestsWhileLeasesCannotBeHandedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, _ := test.NewNullLogger()
@@ -34,11 +34,12 @@
 			log: log,
 		}.run(ctx)
 		require.Equal(t, balancerDelay, closed)
-		require.Equal(t, grace, time.Since(begun), "the leases are handed over until the end")
+		require.Equal(t, grace, time.Since(begun), "the handover of the leases must be tried until the grace period ends")
 	})
 }
 
-// A VM without leases has nothing to hand over, and does not become a steward while it stops.
+// A VM without leases has nothing to hand over, so its drain returns at once. It must not become a steward
+// while it stops.
 func TestVMWithoutLeasesDrainsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, _ := test.NewNullLogger()
--- a/pkg/gatewayd/fleetview.go
+++ b/pkg/gatewayd/fleetview.go
@@ -20,33 +20,37 @@
 	"github.com/mallowlink/mallowlink/pkg/suspect"
 )
 
-// fleetView are what the process knows of the operator's rows and the endpoints.
+// fleetView is this VM's view of the operator's rows (the configuration and the declared adapter versions) and
+// of the endpoints. It is safe for concurrent use.
 type fleetView struct {
 	platform Platform
 	log      logrus.FieldLogger
 	roster   *roster.Roster
 	rules    atomic.Pointer[gateway.Rules]
-	// onChange is called after the list of endpoints or the configuration has changed. It is set before
-	// the followers run.
+	// onChange is called after the endpoint list or the operator's rows have been applied. It is set before any
+	// component starts.
 	onChange func()
-	// onEndpointRead is called with each endpoint that this VM itself has read from the list. It is set before
-	// anything is read.
+	// onEndpointRead is called with each endpoint that this VM itself has read from the platform's list. It is
+	// set before any component starts.
 	onEndpointRead func(roster.Endpoint)
 
-	// replaceMu is held while the list of endpoints is replaced.
+	// replaceMu is held while the endpoint list is replaced.
 	replaceMu sync.Mutex
 
 	mu sync.RWMutex
 	// The fields below are guarded by mu.
 
+	// newestVersions are the newest versions of adapters that the operator has declared.
 	newestVersions map[residency.Key]int
-	// leaving are the runs of endpoints that have said in an answer that they leave, each with when it was last listed.
-	leaving   map[roster.Incarnation]time.Time
+	// leaving maps the endpoint incarnations that have announced in a response that they are about to terminate
+	// to the time of the announcement or of their last listing, whichever is later.
+	leaving map[roster.Incarnation]time.Time
+	// malformed maps the keys of rows that could not be decoded to the values that were logged last.
 	malformed map[string][]byte
-	// operatorConfirmedAt and endpointsConfirmedAt are the moments up to which the operator's rows and the list of
-	// endpoints are known to be current.
+	// operatorConfirmedAt and endpointsConfirmedAt are the times up to which the operator's rows and the
+	// endpoint list are known to be current.
 	operatorConfirmedAt, endpointsConfirmedAt time.Time
-	// endpointsPosition is that of the table that the list of endpoints is of.
+	// endpointsPosition is the position in the table's history that the endpoint list corresponds to.
 	endpointsPosition uint64
 }
 
@@ -57,7 +61,8 @@
 	}
 }
 
-// applyOperatorRows takes in the operator's rows. Versions never go back.
+// applyOperatorRows applies the operator's rows. A configuration or an adapter version older than the known one
+// is ignored.
 func (v *fleetView) applyOperatorRows(rows map[string][]byte) {
 	for key, value := range rows {
 		decoded, err := v.platform.DecodeOperator(key, value)
@@ -83,13 +88,13 @@
 	v.rules.Store(gateway.NewRules(config))
 	for _, a := range config.Accounts {
 		if old == nil || old.Bundle.Accounts[a.Name] != a {
-			v.log.WithFields(logrus.Fields{"event": "account_limit", "account": a.Name, "rate": a.Rate, "burst": a.Burst}).Info()
+			v.log.WithFields(logrus.Fields{"event": "account_limit", "account": a.Name, "rate": a.Rate, "burst": a.Burst}).Info("limit of a client account set")
 		}
 	}
 	v.log.WithFields(logrus.Fields{
 		"event": "config_in_force", "version": config.Version, "routes": len(config.Routes),
 		"accounts": len(config.Accounts), "keys": len(config.Keys),
-	}).Info()
+	}).Info("new configuration in force")
 }
 
 func (v *fleetView) applyAdapterVersion(a roster.Adapter) {
@@ -100,38 +105,39 @@
 		return
 	}
 	v.newestVersions[key] = a.Version
-	v.log.WithFields(logrus.Fields{"event": "adapter_version", "adapter": a.Name, "version": a.Version}).Info()
+	v.log.WithFields(logrus.Fields{"event": "adapter_version", "adapter": a.Name, "version": a.Version}).Info("operator declared a new adapter version")
 }
 
-// newestVersion returns the newest version of an adapter that the operator has declared; 0 if none.
+// newestVersion returns the newest version of an adapter that the operator has declared, or 0 if there is none.
 func (v *fleetView) newestVersion(key residency.Key) int {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.newestVersions[key]
 }
 
-// logMalformed logs a row that cannot be read, once for each value of it.
+// logMalformed logs a row that cannot be decoded, once for each value of the row.
 func (v *fleetView) logMalformed(event, key string, value []byte, err error) {
 	v.mu.Lock()
 	known := bytes.Equal(v.malformed[key], value)
 	v.malformed[key] = value
 	v.mu.Unlock()
 	if !known {
-		v.log.WithError(err).WithFields(logrus.Fields{"event": event, "key": key}).Warn()
+		v.log.WithError(err).WithFields(logrus.Fields{"event": event, "key": key}).Warn("cannot decode a row of the store; the row is ignored")
 	}
 }
 
-// applyEndpoints takes in the list of endpoints as of a position of its table, which was current at confirmed.
-// A list of another VM may be older than the one known: it is left out. An endpoint that has been seen to leave
-// does not come back, and one that this VM knows to be off the list is not listed again because another VM,
-// for which the store was away, keeps it.
+// applyEndpoints applies the endpoint list that corresponds to a position of its table and was current at the
+// time confirmed. Lists of other VMs that are older than the known one are ignored. An endpoint incarnation
+// that was seen draining stays draining. An endpoint that this VM knows to be removed is not added again
+// because another VM, which lost contact with the store, still keeps it.
 func (v *fleetView) applyEndpoints(list []roster.Endpoint, position uint64, confirmed time.Time) {
 	if v.replaceEndpoints(list, position, confirmed) {
 		v.onChange()
 	}
 }
 
-// replaceEndpoints is applyEndpoints without telling others. It reports false if the list is left out.
+// replaceEndpoints does the work of applyEndpoints without calling onChange. It returns false if the list is
+// ignored.
 func (v *fleetView) replaceEndpoints(list []roster.Endpoint, position uint64, confirmed time.Time) bool {
 	v.replaceMu.Lock()
 	defer v.replaceMu.Unlock()
@@ -154,7 +160,7 @@
 	return true
 }
 
-// setEndpoints replaces the list of endpoints. b.lists is held.
+// setEndpoints replaces the endpoint list. The caller holds v.replaceMu.
 func (v *fleetView) setEndpoints(old *roster.View, list []roster.Endpoint) {
 	v.markLeaving(list, time.Now())
 	view := roster.NewView(list)
@@ -162,11 +168,11 @@
 	v.roster.Set(view)
 }
 
-// leavingRetention is how long it is known that a run of an endpoint has said that it leaves after it was last listed: lists
-// of a VM that was cut off may bring it back.
+// leavingRetention is how long after it was last listed an endpoint incarnation that has announced its
+// termination is remembered. A VM that was cut off may still send lists that contain it.
 const leavingRetention = 10 * time.Minute
 
-// markLeaving marks the endpoints that have said that they leave, whatever the list says.
+// markLeaving marks the endpoints that have announced their termination as draining, whatever the list says.
 func (v *fleetView) markLeaving(list []roster.Endpoint, now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -179,7 +185,8 @@
 	maps.DeleteFunc(v.leaving, func(_ roster.Incarnation, listed time.Time) bool { return now.Sub(listed) > leavingRetention })
 }
 
-// recordLeaving takes in that a run of an endpoint has said in an answer that it leaves. It reports false if that was known.
+// recordLeaving records that an endpoint incarnation has announced in a response that it is about to terminate.
+// It returns false if this was known.
 func (v *fleetView) recordLeaving(id roster.Incarnation) bool {
 	v.mu.Lock()
 	_, known := v.leaving[id]
@@ -188,7 +195,7 @@
 	if known {
 		return false
 	}
-	v.log.WithFields(logrus.Fields{"event": "endpoint_leaves", "endpoint": id.ID, "started": id.Started}).Info()
+	v.log.WithFields(logrus.Fields{"event": "endpoint_leaves", "endpoint": id.ID, "started": id.Started}).Info("endpoint announced that it is about to terminate")
 	v.replaceMu.Lock()
 	old := v.roster.View()
 	v.setEndpoints(old, slices.Clone(old.All()))
@@ -197,8 +204,9 @@
 	return true
 }
 
-// acceptPosition reports whether a list of endpoints is no older than the one known, and notes its position. A lower
-// position that is confirmed later is one of a table that was made anew.
+// acceptPosition reports whether an endpoint list is at least as recent as the known one, and records its
+// position. A lower position that was confirmed later than the known list belongs to a table that was created
+// anew.
 func (v *fleetView) acceptPosition(position uint64, confirmed time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -206,14 +214,14 @@
 		v.log.WithFields(logrus.Fields{
 			"event": "endpoints_outdated", "position": position, "known": v.endpointsPosition,
 			"behind": v.endpointsConfirmedAt.Sub(confirmed).Round(time.Millisecond),
-		}).Info()
+		}).Info("ignored an endpoint list that is older than the known one")
 		return false
 	}
 	v.endpointsPosition = position
 	return true
 }
 
-// confirm notes the moments up to which what is believed is known to be current.
+// confirm records the times up to which the operator's rows and the endpoint list are known to be current.
 func (v *fleetView) confirm(operator, endpoints time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -225,21 +233,21 @@
 	}
 }
 
-// rulesAge returns how old what is believed of the operator's rows may be.
+// rulesAge returns the time since the operator's rows were last known to be current.
 func (v *fleetView) rulesAge() time.Duration {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return ageSince(v.operatorConfirmedAt)
 }
 
-// endpointsAge returns how old the list of endpoints may be.
+// endpointsAge returns the time since the endpoint list was last known to be current.
 func (v *fleetView) endpointsAge() time.Duration {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return ageSince(v.endpointsConfirmedAt)
 }
 
-// unknownAge is the age of what was never known.
+// unknownAge is the age of information that was never received.
 const unknownAge = 24 * time.Hour
 
 func ageSince(confirmed time.Time) time.Duration {
@@ -249,7 +257,8 @@
 	return clock.Elapsed(confirmed, time.Now())
 }
 
-// logEndpointChanges logs the endpoints that have come, gone, or changed their state.
+// logEndpointChanges logs the endpoints that were added, were removed, were restarted, or have changed whether
+// they are draining.
 func (v *fleetView) logEndpointChanges(old, view *roster.View) {
 	for _, e := range view.All() {
 		before, known := old.Endpoint(e.ID)
@@ -259,16 +268,16 @@
 		v.log.WithFields(logrus.Fields{
 			"event": "endpoint_listed", "endpoint": e.ID, "group": e.Group, "address": e.Address,
 			"started": e.Started, "draining": e.Draining,
-		}).Info()
+		}).Info("endpoint added to the list, restarted or changed")
 	}
 	for _, e := range old.All() {
 		if _, still := view.Endpoint(e.ID); !still {
-			v.log.WithFields(logrus.Fields{"event": "endpoint_unlisted", "endpoint": e.ID, "group": e.Group}).Info()
+			v.log.WithFields(logrus.Fields{"event": "endpoint_unlisted", "endpoint": e.ID, "group": e.Group}).Info("endpoint removed from the list")
 		}
 	}
 }
 
-// accountLimit returns a client account's limit.
+// accountLimit returns a client account's limit, or false if there is no configuration or no such account.
 func (v *fleetView) accountLimit(account string) (allowance.Limit, bool) {
 	rules := v.rules.Load()
 	if rules == nil {
@@ -278,7 +287,7 @@
 	return allowance.Limit{Rate: a.Rate, Burst: a.Burst}, ok
 }
 
-// accountNames returns the names of the client accounts.
+// accountNames returns the names of all client accounts in the configuration.
 func (v *fleetView) accountNames() []string {
 	rules := v.rules.Load()
 	if rules == nil {
@@ -291,7 +300,7 @@
 	return names
 }
 
-// engineSpec returns what is known of a group's engines.
+// engineSpec returns the specification of a group's engines, or false if the group has none.
 func (v *fleetView) engineSpec(group string) (orders.Spec, bool) {
 	rules := v.rules.Load()
 	if rules == nil || rules.Bundle.Groups[group].Engine == nil {
@@ -303,7 +312,7 @@
 	}, true
 }
 
-// group returns what the configuration says of an endpoint group.
+// group returns the configuration of an endpoint group, or false if there is none.
 func (v *fleetView) group(name string) (bundle.Group, bool) {
 	rules := v.rules.Load()
 	if rules == nil {
@@ -313,7 +322,8 @@
 	return g, ok
 }
 
-// listing returns what the list says of a run of an endpoint.
+// listing returns whether the endpoint list contains this incarnation of an endpoint, a later one, or one that
+// is draining.
 func (v *fleetView) listing(e roster.Endpoint) suspect.Listing {
 	now, listed := v.roster.View().Endpoint(e.ID)
 	switch {
@@ -325,7 +335,7 @@
 	return suspect.Current
 }
 
-// configVersion returns the version of the configuration in force; 0 before the first.
+// configVersion returns the version of the configuration in force, or 0 before the first one.
 func (v *fleetView) configVersion() uint64 {
 	rules := v.rules.Load()
 	if rules == nil {
--- a/pkg/gatewayd/fleetview_test.go
+++ b/pkg/gatewayd/fleetview_test.go
@@ -10,8 +10,9 @@
 	"github.com/mallowlink/mallowlink/pkg/roster"
 )
 
-// A run of an endpoint that has said in an answer that it leaves gets no new requests, whatever older or newer lists say;
-// its next run does.
+// An endpoint incarnation that has announced its termination in a response must get no new requests, even if
+// lists that are older or newer than the announcement show it as available. The endpoint's next incarnation
+// gets requests again.
 func TestEndpointThatAnnouncesTerminationGetsNoNewRequests(t *testing.T) {
 	log, lines := test.NewNullLogger()
 	v := newFleetView(Platform{}, log)
@@ -25,17 +26,17 @@
 	}
 	v.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), listedEndpoint("b", false)}, 10, now)
 	require.True(t, v.recordLeaving(listedEndpoint("a", false).Incarnation))
-	require.Equal(t, 2, changes, "order givers hear of it")
-	require.False(t, v.recordLeaving(listedEndpoint("a", false).Incarnation), "it was known")
+	require.Equal(t, 2, changes, "engine owners must be notified")
+	require.False(t, v.recordLeaving(listedEndpoint("a", false).Incarnation), "the termination is already known")
 	require.Equal(t, "endpoint_leaves", lines.AllEntries()[2].Data["event"])
 	require.True(t, draining("a"))
 	require.False(t, draining("b"))
 
 	v.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), listedEndpoint("b", false)}, 11, now)
-	require.True(t, draining("a"), "the list has not heard of it")
+	require.True(t, draining("a"), "the list does not show the termination yet")
 	v.applyEndpoints([]roster.Endpoint{listedEndpoint("b", false)}, 12, now)
 	v.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), listedEndpoint("b", false)}, 13, now)
-	require.True(t, draining("a"), "its entry had lapsed")
+	require.True(t, draining("a"), "the row of the endpoint had expired")
 
 	again := listedEndpoint("a", false)
 	again.Started++
--- a/pkg/gatewayd/gatewayd.go
+++ b/pkg/gatewayd/gatewayd.go
@@ -1,5 +1,6 @@
-// Package gatewayd wires the parts of a process that dispatches callers' requests directly to
-// endpoints, starts them in order and stops them without cutting a request.
+// Package gatewayd builds the gateway process that dispatches callers' requests directly to endpoints: it wires
+// the components together, starts them in order, and stops them without interrupting requests. A steward is a
+// VM that holds leases and reads the platform's store on behalf of the VMs that poll it.
 package gatewayd
 
 import (
@@ -20,48 +21,50 @@
 	"github.com/mallowlink/mallowlink/pkg/upstream"
 )
 
-// Platform is what the process asks of the platform that it runs on.
+// Platform holds the services that the process needs from the platform that it runs on.
 type Platform struct {
-	// Operator holds what the operator writes, Endpoints what the endpoints say of themselves.
+	// Operator is the feed of the rows that the operator writes, Endpoints the feed of the rows that endpoints
+	// report about themselves.
 	Operator, Endpoints platform.Feed
-	// Fleet is a table of mallowlink's own, for leases.
+	// Fleet is mallowlink's own table, shared by all VMs. It holds the leases and the suspect requests.
 	Fleet follow.FeedTable
-	// DecodeOperator reads a row of the operator.
+	// DecodeOperator decodes a row written by the operator.
 	DecodeOperator func(key string, data []byte) (OperatorRow, error)
-	// DecodeEndpoint reads a row of an endpoint.
+	// DecodeEndpoint decodes a row reported by an endpoint.
 	DecodeEndpoint func(key string, data []byte) (roster.Endpoint, error)
 	Dialect        dialect.Dialect
-	// Engines returns the control calls of engines, made over the client.
+	// Engines returns the engines' control API, called over client.
 	Engines func(client *upstream.Client) engine.Engines
-	// Probes asks endpoints whether they live, over the client. groups returns what is known of an endpoint group.
+	// Probes returns a prober that checks over client whether endpoints are alive. groups returns an endpoint
+	// group's configuration.
 	Probes func(client *upstream.Client, groups func(name string) (bundle.Group, bool)) suspect.Prober
 }
 
-// OperatorRow is what one row of the operator holds. Fields that it does not speak of are nil.
+// OperatorRow is the content of one row written by the operator. A field is nil if the row does not contain it.
 type OperatorRow struct {
 	Config  *bundle.Bundle
 	Version *roster.Adapter
 }
 
-// Connect returns the platform's services as the settings name them.
+// Connect returns clients of the platform's services at the addresses in the settings.
 type Connect func(s Settings, registry metrics.Registry) Platform
 
-// Daemon is the process.
+// Daemon is the gateway process.
 type Daemon struct {
 	app     *fx.App
 	process *process
 }
 
-// Options are what a daemon works with.
+// Options hold the dependencies of a daemon.
 type Options struct {
-	// Load reads the settings, at the start and when they may have changed.
+	// Load reads the settings. It is called at the start, after Reload, and periodically.
 	Load    Load
 	Connect Connect
-	// Log receives the log.
+	// Log is the writer that log lines go to.
 	Log io.Writer
 }
 
-// New builds a daemon and binds its listeners. Nothing runs until Start.
+// New builds a daemon and binds its listeners. Nothing runs until Start is called.
 func New(o Options) (*Daemon, error) {
 	s, err := o.Load()
 	if err != nil {
@@ -91,19 +94,19 @@
 		}),
 	)
 	if err := d.app.Err(); err != nil {
-		return nil, errors.Wrap(err, "gateway")
+		return nil, errors.Wrap(err, "build gateway")
 	}
 	return d, nil
 }
 
-// Reload reads the settings again.
+// Reload makes the daemon read the settings again at once.
 func (d *Daemon) Reload() { d.process.components.LiveSettings.requestReload() }
 
-// Start starts every part.
+// Start starts all components.
 func (d *Daemon) Start(ctx context.Context) error { return d.app.Start(ctx) }
 
-// Stop drains the process and ends it.
+// Stop drains the process and closes all components.
 func (d *Daemon) Stop(ctx context.Context) error { return d.app.Stop(ctx) }
 
-// Failed is closed when a part has failed and the process must be stopped.
+// Failed returns a channel that is closed when a component has failed and the process must be stopped.
 func (d *Daemon) Failed() <-chan struct{} { return d.process.failed }
--- a/pkg/gatewayd/process.go
+++ b/pkg/gatewayd/process.go
@@ -25,24 +25,25 @@
 )
 
 const (
-	// defaultHeaderTimeout and defaultIdleTimeout bound how long a caller may take for a header, and stay without a
-	// request, where the configuration sets no limits.
+	// defaultHeaderTimeout and defaultIdleTimeout limit how long a caller may take to send a header, and keep a
+	// connection open without a request, where the configuration sets no limits.
 	defaultHeaderTimeout = 10 * time.Second
 	defaultIdleTimeout   = 2 * time.Minute
-	// defaultHeaderBytes bounds a caller's header where the configuration sets no limit; net/http's default.
+	// defaultHeaderBytes limits the size of a caller's header where the configuration sets no limit. It is the
+	// default of net/http.
 	defaultHeaderBytes = http.DefaultMaxHeaderBytes
-	// reservedDescriptors are the descriptors that callers' connections leave to others: to endpoints, to
-	// other VMs, to the store, and to files.
+	// reservedDescriptors is the number of file descriptors that callers' connections leave free for connections
+	// to endpoints, other VMs and the store, and for files.
 	reservedDescriptors = 1500
-	// sweepInterval is the time between two passes over idle connections to endpoints.
+	// sweepInterval is the interval between two sweeps over idle connections.
 	sweepInterval = time.Second
-	// logFlushTimeout bounds the wait for the last lines of the log.
+	// logFlushTimeout limits the wait for the last log lines to be written.
 	logFlushTimeout = 200 * time.Millisecond
-	// closeMargin is the part of the time until SIGKILL that is left for closing.
+	// closeMargin is the part of the time until SIGKILL that is reserved for closing the components.
 	closeMargin = 600 * time.Millisecond
 )
 
-// servers are the process's HTTP servers.
+// servers holds the HTTP servers of the process.
 type servers struct {
 	callers, readiness, metrics *http.Server
 	callerWatch                 *callers.Watch
@@ -53,7 +54,8 @@
 	s := &servers{}
 	router := mux.NewRouter()
 	router.HandleFunc("/readyz", s.serveReady).Methods(http.MethodGet)
-	// The watch bounds headers and idle connections, as the configuration in force says.
+	// callerWatch enforces the limits on headers and idle connections, because those of the configuration in
+	// force may change while the server runs.
 	s.callers = &http.Server{Handler: g, MaxHeaderBytes: defaultHeaderBytes}
 	s.callerWatch = callers.NewWatch(s.callers)
 	s.readiness = &http.Server{Handler: router, ReadHeaderTimeout: defaultHeaderTimeout}
@@ -70,7 +72,7 @@
 	}
 }
 
-// dumpState returns the dump, nil before the process has started.
+// dumpState returns the dump of the process's state, or nil before the process has started.
 func (s *servers) dumpState() any {
 	if p := s.process.Load(); p != nil {
 		return p.state()
@@ -78,7 +80,7 @@
 	return nil
 }
 
-// components are what a process runs.
+// components are all components that a process runs. fx fills them in by type.
 type components struct {
 	fx.In
 
@@ -103,7 +105,7 @@
 	Servers      *servers
 }
 
-// process runs the parts of a daemon and drains them at the end.
+// process starts the components of a daemon, and drains and closes them at the end.
 type process struct {
 	components components
 	loops      sync.WaitGroup
@@ -114,14 +116,14 @@
 
 func newProcess(p components) *process { return &process{components: p, failed: make(chan struct{})} }
 
-// ready reports whether new connections of callers should come here.
+// ready reports whether the balancer should send new callers' connections to this VM.
 func (p *process) ready() bool {
 	view := p.components.View
 	return !p.draining.Load() && view.rules.Load() != nil && view.roster.View().Len() > 0 && keysValid(view, p.components.LiveSettings.bounds())
 }
 
-// start runs every part. The peer port takes calls first: a connection that it refuses would prove
-// this process gone.
+// start starts all components. The peer port accepts calls first, because other VMs take a refused connection
+// as proof that this process is gone.
 func (p *process) start() {
 	p.components.Servers.process.Store(p)
 	p.startServer("peer", func() error { return p.components.Peers.server.Serve(p.components.Listeners.peer) })
@@ -139,7 +141,7 @@
 		"event": "started", "incarnation": p.components.ID.incarnation,
 		"callers": p.components.Settings.Listen.Callers, "peer": p.components.Settings.Listen.Peer,
 		"metrics": p.components.Settings.Listen.Metrics, "store": p.components.Settings.Store,
-	}).Info()
+	}).Info("gateway started")
 }
 
 func (p *process) startLoop(run func(ctx context.Context)) {
@@ -154,16 +156,16 @@
 	p.startServer(name, func() error { return server.Serve(l) })
 }
 
-// checkExit fails the daemon if a part has ended by an error before the daemon stops.
+// checkExit marks the daemon as failed if a component ended with an error before the daemon was stopped.
 func (p *process) checkExit(name string, err error) {
 	if err == nil || errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
 		return
 	}
-	p.components.Log.WithFields(logrus.Fields{"event": "part_failed", "part": name, "error": err.Error()}).Error()
+	p.components.Log.WithFields(logrus.Fields{"event": "part_failed", "part": name, "error": err.Error()}).Error("component failed")
 	p.failOnce.Do(func() { close(p.failed) })
 }
 
-// sweep closes idle connections of callers and to endpoints until ctx ends.
+// sweep closes idle connections from callers and to endpoints until ctx ends.
 func (p *process) sweep(ctx context.Context) {
 	clock.Every(ctx, sweepInterval, func(now time.Time) {
 		p.components.Outbound.pools.Sweep(now)
@@ -171,7 +173,7 @@
 	})
 }
 
-// callerTimeouts returns how long callers are waited for.
+// callerTimeouts returns the timeouts for callers that the configuration in force sets, or the defaults.
 func (p *process) callerTimeouts() callers.Patience {
 	patience := callers.Patience{Header: defaultHeaderTimeout, Idle: defaultIdleTimeout}
 	rules := p.components.View.rules.Load()
@@ -187,10 +189,11 @@
 	return patience
 }
 
-// stop drains the process: it is no longer ready, hands its leases over, finishes every request, and
-// ends. What still runs shortly before SIGKILL is cut, and counted in the log.
+// stop drains the process: it reports that it is not ready, hands its leases over, completes the requests under
+// way, and closes all components. Requests that still run shortly before SIGKILL are interrupted, and their
+// number is logged.
 func (p *process) stop(ctx context.Context) error {
-	p.components.Log.WithField("event", "drain_started").Info()
+	p.components.Log.WithField("event", "drain_started").Info("drain before shutdown started")
 	begun := time.Now()
 	p.draining.Store(true)
 	p.components.Gateway.Drain()
@@ -204,12 +207,12 @@
 	p.components.Coordination.leases.Release()
 	cut := p.components.Gateway.Running()
 	p.close()
-	p.components.Log.WithFields(logrus.Fields{"event": "stopped", "took": time.Since(begun).Round(time.Millisecond), "cut": cut}).Info()
+	p.components.Log.WithFields(logrus.Fields{"event": "stopped", "took": time.Since(begun).Round(time.Millisecond), "cut": cut}).Info("gateway stopped")
 	p.components.EventLog.Close(logFlushTimeout)
 	return nil
 }
 
-// close ends every part.
+// close closes all components and waits for their goroutines.
 func (p *process) close() {
 	_ = p.components.Servers.callers.Close()
 	_ = p.components.Servers.readiness.Close()
--- a/pkg/gatewayd/reload.go
+++ b/pkg/gatewayd/reload.go
@@ -9,23 +9,24 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Load reads the settings as they are now.
+// Load returns the current settings.
 type Load func() (Settings, error)
 
-// reloadInterval is the time between two looks at the settings, which may change without a signal.
+// reloadInterval is the interval at which the settings are read again. They may change without a signal.
 const reloadInterval = 2 * time.Second
 
-// memoryLimitShare is the part of the VM's memory that the garbage collector keeps the process below. The rest is
-// for what it does not count: stacks of the C library, and what the kernel holds for sockets.
+// memoryLimitShare is the share of the VM's memory that is set as the soft memory limit of the Go runtime. The
+// rest is for memory that the runtime does not count: stacks of C libraries, and the kernel's socket buffers.
 const memoryLimitShare = 0.7
 
-// liveSettings holds the settings in force. The parts read those that can change while the process runs through it.
+// liveSettings holds the settings in force. Components read the settings that can change at run time through
+// it.
 type liveSettings struct {
 	current         atomic.Pointer[Settings]
 	load            Load
 	reloadRequested chan struct{}
 	log             logrus.FieldLogger
-	// lastError is the last fault, so that it is logged once.
+	// lastError is the text of the last error in the settings, so that the same error is logged only once.
 	lastError string
 }
 
@@ -45,7 +46,7 @@
 // bounds returns the bounds in force.
 func (l *liveSettings) bounds() Bounds { return l.current.Load().Bounds }
 
-// requestReload makes run read the settings at once.
+// requestReload makes run read the settings at once. It never blocks.
 func (l *liveSettings) requestReload() {
 	select {
 	case l.reloadRequested <- struct{}{}:
@@ -53,7 +54,7 @@
 	}
 }
 
-// run reads the settings from time to time until ctx ends.
+// run reads the settings periodically, and when requested, until ctx ends.
 func (l *liveSettings) run(ctx context.Context) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
@@ -69,14 +70,14 @@
 	}
 }
 
-// reload reads the settings and takes in what has changed. Settings that are not valid leave those in force as
-// they are.
+// reload reads the settings and applies the changes that need no restart. Invalid settings are logged and leave
+// those in force unchanged.
 func (l *liveSettings) reload(requested bool) {
 	read, err := l.load()
 	if err != nil {
 		if err.Error() != l.lastError {
 			l.lastError = err.Error()
-			l.log.WithError(err).WithField("event", "settings_refused").Error()
+			l.log.WithError(err).WithField("event", "settings_refused").Error("cannot load the settings; those in force stay unchanged")
 		}
 		return
 	}
@@ -88,11 +89,11 @@
 	l.current.Store(&merged)
 	setMemoryLimit(merged)
 	if len(applied) > 0 || requested {
-		l.log.WithFields(logrus.Fields{"event": "settings_reloaded", "applied": applied, "need_restart": needRestart}).Info()
+		l.log.WithFields(logrus.Fields{"event": "settings_reloaded", "applied": applied, "need_restart": needRestart}).Info("settings reloaded")
 	}
 }
 
-// setting is a setting that may change while the process runs.
+// setting compares one setting, and copies it if it can change while the process runs.
 type setting struct {
 	name  string
 	equal func(a, b *Settings) bool
@@ -108,14 +109,14 @@
 	}
 }
 
-// restartOnly returns a setting that the process must be restarted for.
+// restartOnly returns a setting that takes effect only after a restart. Its set function is nil.
 func restartOnly[T comparable](name string, field func(*Settings) *T) setting {
 	s := reloadable(name, field)
 	s.set = nil
 	return s
 }
 
-// allSettings lists every setting.
+// allSettings lists the settings that a reload compares.
 var allSettings = []setting{
 	reloadable("key_withdrawal", func(s *Settings) *time.Duration { return &s.Bounds.KeyWithdrawal }),
 	reloadable("grace", func(s *Settings) *time.Duration { return &s.Bounds.Grace }),
@@ -131,8 +132,8 @@
 	restartOnly("quota", func(s *Settings) *QuotaBounds { return &s.Bounds.Quota }),
 }
 
-// merge returns the settings in force with what can be changed of those that were read, the names of the
-// settings that have changed so, and of those that wait for a restart.
+// merge returns the current settings with the reloadable changes of read applied, the names of the settings
+// that were changed, and the names of the changed settings that need a restart.
 func merge(current, read Settings) (merged Settings, applied, needRestart []string) {
 	merged = current
 	for _, s := range allSettings {
--- a/pkg/gatewayd/reload_test.go
+++ b/pkg/gatewayd/reload_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// change changes a value to another one of its type.
+// change sets v to a different value of its type.
 func change(t *testing.T, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
@@ -35,11 +35,11 @@
 	case reflect.Bool:
 		v.SetBool(!v.Bool())
 	default:
-		t.Fatalf("no change for %s", v.Type())
+		t.Fatalf("no different value for type %s", v.Type())
 	}
 }
 
-// forEachField calls do with each field that is not a structure.
+// forEachField calls do with each field of v, and of structs in it, that is not itself a struct.
 func forEachField(v reflect.Value, name string, do func(name string, v reflect.Value)) {
 	if v.Kind() != reflect.Struct {
 		do(name, v)
@@ -50,8 +50,8 @@
 	}
 }
 
-// Each setting is known to the reload, as one that takes effect or as one that needs a restart. Two are
-// left out: FirstStart tells of the past, and the level of the log comes from the command line.
+// Each field of Settings must be compared on a reload, as a reloadable one or as one that needs a restart.
+// There are two exceptions: FirstStart describes the past, and LogLevel comes from the command line.
 func TestEverySettingIsComparedOnReload(t *testing.T) {
 	read := sampleSettings()
 	forEachField(reflect.ValueOf(&read).Elem(), "", func(name string, v reflect.Value) {
@@ -71,10 +71,10 @@
 func TestReloadAppliesReloadableSettings(t *testing.T) {
 	log, lines := test.NewNullLogger()
 	read := sampleSettings()
-	var fault error
-	l := newLiveSettings(sampleSettings(), func() (Settings, error) { return read, fault }, log)
+	var loadErr error
+	l := newLiveSettings(sampleSettings(), func() (Settings, error) { return read, loadErr }, log)
 	l.reload(false)
-	require.Empty(t, lines.Entries, "nothing has changed")
+	require.Empty(t, lines.Entries, "nothing has changed, so nothing must be logged")
 
 	read.Bounds.KeyWithdrawal = 2 * time.Second
 	read.Store = "9.9.9.9:9"
@@ -84,14 +84,14 @@
 	require.Equal(t, "settings_reloaded", lines.LastEntry().Data["event"])
 	require.Equal(t, []string{"store"}, lines.LastEntry().Data["need_restart"])
 
-	fault = errors.New("grace is missing")
+	loadErr = errors.New("grace is missing")
 	l.reload(false)
 	l.reload(false)
-	require.Len(t, lines.Entries, 2, "a fault is logged once")
+	require.Len(t, lines.Entries, 2, "the same error must be logged once")
 	require.Equal(t, "settings_refused", lines.LastEntry().Data["event"])
 	require.Equal(t, 2*time.Second, l.bounds().KeyWithdrawal)
 
-	fault = nil
+	loadErr = nil
 	l.reload(true)
-	require.Equal(t, "settings_reloaded", lines.LastEntry().Data["event"], "a signal is answered in any case")
+	require.Equal(t, "settings_reloaded", lines.LastEntry().Data["event"], "a requested reload must be logged even if nothing has changed")
 }
--- a/pkg/gatewayd/settings.go
+++ b/pkg/gatewayd/settings.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Settings are the static settings of one VM's process.
+// Settings are the settings of one VM's process. Some of them can be changed while the process runs.
 type Settings struct {
-	// VM identifies the VM.
+	// VM is the ID of the VM.
 	VM            string
 	FailureDomain string
 	Listen        Listen
@@ -14,25 +14,27 @@
 	Store string
 	// FirstStart says that the whole deployment starts for the first time.
 	FirstStart bool
-	// LogLevel is a level of logrus; info if empty.
+	// LogLevel is a logrus level. An empty string stands for info.
 	LogLevel string
 }
 
 // Listen holds the addresses that the process listens on, as IP and port.
 type Listen struct {
-	// Callers takes callers' requests.
+	// Callers is the address for callers' requests.
 	Callers string
-	// Readiness answers whether new connections of callers should come here.
+	// Readiness is the address at which the balancer asks whether it should send new callers' connections to
+	// this VM.
 	Readiness string
-	// Peer takes calls of other VMs.
+	// Peer is the address for calls from other VMs.
 	Peer string
-	// Metrics serves metrics and the dump of the process's state.
+	// Metrics is the address that serves metrics and the dump of the process's state.
 	Metrics string
-	// PeerPublic is where other VMs reach Peer, if something stands between; empty otherwise.
+	// PeerPublic is the address at which other VMs reach Peer if a proxy or an address translation is in
+	// between. It is empty otherwise.
 	PeerPublic string
 }
 
-// peerAddress returns where other VMs reach this one.
+// peerAddress returns the address at which other VMs reach this VM.
 func (l Listen) peerAddress() string {
 	if l.PeerPublic != "" {
 		return l.PeerPublic
@@ -40,38 +42,39 @@
 	return l.Peer
 }
 
-// Limits are what the VM gives the process.
+// Limits are the resources of the VM that the process may use.
 type Limits struct {
-	// MemoryBytes bounds the process's memory.
+	// MemoryBytes is the memory limit of the process; zero stands for no limit.
 	MemoryBytes int64
-	// Descriptors bounds its open files and sockets.
+	// Descriptors is the limit of open files and sockets.
 	Descriptors int
-	// Cores is its share of a core.
+	// Cores is the share of CPU cores that the process may use; 0.4 stands for 40 % of one core.
 	Cores float64
 }
 
-// Bounds are the deployment's figures that the process works by.
+// Bounds are the limits that the deployment sets for the behaviour of all VMs.
 type Bounds struct {
 	// KeyWithdrawal is the time within which a withdrawn key must stop working on every VM.
 	KeyWithdrawal time.Duration
 	// Grace is the time between SIGTERM and SIGKILL.
 	Grace time.Duration
-	// OrderTurns is the least time between orders of two VMs that take turns at an endpoint.
+	// OrderTurns is the minimum time between orders of two different VMs to the same endpoint. It is also the
+	// duration of a lease.
 	OrderTurns time.Duration
 	Retry      RetryBounds
 	Quota      QuotaBounds
 }
 
-// RetryBounds bound the repeated requests to a group, by all VMs together, within a window: to a share of
-// the requests, and a number on top.
+// RetryBounds limit the retries that all VMs together may make to an endpoint group within Window: to Share of
+// the requests, plus Reserve retries.
 type RetryBounds struct {
 	Share   float64
 	Reserve float64
 	Window  time.Duration
 }
 
-// QuotaBounds say what a client account may exceed its limit by within a window: a share of the limit, and
-// tokens on top.
+// QuotaBounds set by how much a client account may exceed its limit within Window: by Overage, a share of the
+// limit, plus Slack tokens.
 type QuotaBounds struct {
 	Overage float64
 	Slack   float64
--- a/pkg/gatewayd/state.go
+++ b/pkg/gatewayd/state.go
@@ -12,8 +12,8 @@
 	"github.com/mallowlink/mallowlink/pkg/suspect"
 )
 
-// State is the dump of a process's state. It holds no caller's key. Ages are those of what the process
-// believes: how long ago it was certainly true.
+// State is the dump of a process's state. It contains no caller's key. An age is the time since the information
+// was last known to be current.
 type State struct {
 	VM            string                   `json:"vm"`
 	Incarnation   string                   `json:"incarnation"`
@@ -31,11 +31,11 @@
 	EndpointsAge  string                   `json:"endpoints_age"`
 	Engines       []orders.EngineState     `json:"engines"`
 	Accounts      []allowance.AccountState `json:"accounts"`
-	// Suspects are the requests under which endpoints have ended.
+	// Suspects are the requests that were running on endpoints when these crashed.
 	Suspects []suspect.Suspect `json:"suspects"`
 }
 
-// ConfigState is the configuration in force.
+// ConfigState describes the configuration in force.
 type ConfigState struct {
 	Version  uint64 `json:"version"`
 	Age      string `json:"age"`
@@ -44,13 +44,13 @@
 	Accounts int    `json:"accounts"`
 }
 
-// LeaseState is a lease that this VM holds.
+// LeaseState describes a lease that this VM holds.
 type LeaseState struct {
 	Lease   string `json:"lease"`
 	Fencing uint64 `json:"fencing"`
 }
 
-// VMState is another VM as this one sees it.
+// VMState describes another VM as seen from this one. Silent is the time since that VM last responded.
 type VMState struct {
 	VM      string `json:"vm"`
 	Address string `json:"address"`
@@ -58,7 +58,7 @@
 	Silent  string `json:"silent"`
 }
 
-// EndpointState is an endpoint as this VM sees it.
+// EndpointState describes an endpoint as seen from this VM.
 type EndpointState struct {
 	Endpoint string `json:"endpoint"`
 	Group    string `json:"group"`
@@ -67,7 +67,7 @@
 	dispatch.Condition
 }
 
-// state returns the dump.
+// state returns the dump of the process's state.
 func (p *process) state() any {
 	view, coord := p.components.View, p.components.Coordination
 	s := State{
@@ -98,7 +98,7 @@
 
 func formatDuration(d time.Duration) string { return d.Round(time.Millisecond).String() }
 
-// heldLeases returns the leases that this VM holds, by name.
+// heldLeases returns the leases that this VM holds, ordered by name.
 func (s *stewardSet) heldLeases() []LeaseState {
 	var leases []LeaseState
 	for name := range s.currentDirectory().Holders {
--- a/pkg/gatewayd/stewards.go
+++ b/pkg/gatewayd/stewards.go
@@ -20,19 +20,21 @@
 )
 
 const (
-	// stewardCount is the number of VMs that hold leases and read the store, if there are as many. More
-	// of them spread orders further, and each costs calls to the store.
+	// stewardCount is the number of stewards if there are that many VMs. More stewards would spread the orders
+	// to engines over more VMs, but each one adds calls to the store.
 	stewardCount = 8
-	// candidacyDelay is the time for which a VM with a whole core waits before it becomes a steward, and
-	// candidacyJitter the random time on top; weaker VMs wait longer, so that able ones come first.
+	// candidacyDelay is how long a VM with one whole core waits before it becomes a steward, and candidacyJitter
+	// the maximum random time on top. VMs with a smaller share of a core wait longer, so that more powerful VMs
+	// become stewards first.
 	candidacyDelay  = 150 * time.Millisecond
 	candidacyJitter = 300 * time.Millisecond
-	// vmExpiry is how long a VM that is no longer spoken of is still counted.
+	// vmExpiry is how long a VM is still counted that is no longer reported by other VMs and does not poll this
+	// one.
 	vmExpiry = 10 * time.Second
 )
 
-// stewardSet knows the VMs that hold leases, and makes this VM one of them when there are too few. It
-// implements lease.Lessor for all VMs.
+// stewardSet tracks the stewards and the other VMs, and makes this VM a steward if there are too few. It
+// implements lease.Lessor on every VM, steward or not. It is safe for concurrent use.
 type stewardSet struct {
 	self      relay.VM
 	table     rowLister
@@ -45,7 +47,7 @@
 	// The fields below are guarded by mu.
 
 	steward bool
-	// draining says that the process is stopping: it does not become a steward any more.
+	// draining says that the process is stopping and must not become a steward any more.
 	draining       bool
 	directory      lease.Directory
 	directoryKnown bool
@@ -57,27 +59,28 @@
 	List(ctx context.Context, prefix string) ([]platform.Row, error)
 }
 
-// knownVM is a VM that was spoken of at that time.
+// knownVM is a VM with the time when it was last reported.
 type knownVM struct {
 	relay.VM
 	seenAt time.Time
 }
 
-// isSteward reports whether this VM holds leases, or wants to.
+// isSteward reports whether this VM has become a steward: it holds leases or claims them.
 func (s *stewardSet) isSteward() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.steward
 }
 
-// setDirectory takes in what was read or heard of the leases.
+// setDirectory replaces the directory of leases by one that was read from the store or received from another
+// VM.
 func (s *stewardSet) setDirectory(d lease.Directory) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.directory, s.directoryKnown = d, true
 }
 
-// currentDirectory returns what is known of the leases.
+// currentDirectory returns the newest known directory of leases.
 func (s *stewardSet) currentDirectory() lease.Directory {
 	if s.isSteward() {
 		return s.leases.Directory()
@@ -87,7 +90,7 @@
 	return s.directory
 }
 
-// list returns the stewards in the order in which VMs turn to them.
+// list returns the stewards in the order in which other VMs poll them.
 func (s *stewardSet) list() []relay.VM {
 	var list []relay.VM
 	for _, vm := range s.currentDirectory().VMs {
@@ -96,7 +99,8 @@
 	return list
 }
 
-// peerAddress returns where a VM takes calls.
+// peerAddress returns the address at which a VM takes calls from other VMs, or false if the VM is unknown or
+// gone.
 func (s *stewardSet) peerAddress(vm string) (string, bool) {
 	for _, m := range s.Members() {
 		if m.ID == vm && !m.Gone {
@@ -125,7 +129,7 @@
 	return holder, ok
 }
 
-// publishDirectory puts what this VM knows of the leases on the board.
+// publishDirectory puts this VM's directory of leases into the update log.
 func (s *stewardSet) publishDirectory() {
 	d := s.leases.Directory()
 	holders := make(map[string][]byte, len(d.Holders))
@@ -143,25 +147,25 @@
 func (s *stewardSet) encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		s.log.WithError(err).WithField("event", "lease_not_published").Error()
+		s.log.WithError(err).WithField("event", "lease_not_published").Error("cannot encode a lease or a steward for other VMs")
 	}
 	return data
 }
 
-// run makes this VM a steward when there are too few, until ctx ends.
+// run makes this VM a steward once there are too few, and then does a steward's work until ctx ends.
 func (s *stewardSet) run(ctx context.Context) {
 	if !s.awaitVacancy(ctx) || !s.becomeSteward() {
 		return
 	}
-	s.log.WithField("event", "steward").Info()
+	s.log.WithField("event", "steward").Info("this VM has become a steward")
 	var loops sync.WaitGroup
 	loops.Go(func() { s.members.Run(ctx) })
 	loops.Go(func() { s.leases.Run(ctx) })
 	loops.Wait()
 }
 
-// awaitVacancy waits until the store shows that this VM is needed as a steward. It reports false if ctx ends
-// before.
+// awaitVacancy waits until the store shows that this VM is needed as a steward. It returns false if ctx ends
+// first.
 func (s *stewardSet) awaitVacancy(ctx context.Context) bool {
 	s.awaitDirectory(ctx)
 	for ctx.Err() == nil {
@@ -171,9 +175,9 @@
 		if !s.needed() {
 			continue
 		}
-		// What was heard may be old, and others may have come first.
+		// The directory that this VM knows may be out of date, and other VMs may have become stewards meanwhile.
 		if err := s.readDirectory(ctx); err != nil {
-			s.log.WithError(err).WithField("event", "leases_not_read").Warn()
+			s.log.WithError(err).WithField("event", "leases_not_read").Warn("cannot read the leases from the store")
 		} else if s.needed() {
 			return true
 		}
@@ -182,27 +186,28 @@
 	return false
 }
 
-// needed reports whether this VM should be a steward as far as it knows.
-func (s *stewardSet) needed() bool { return s.wasSteward() || s.vacancy() }
+// needed reports whether this VM should become a steward, as far as it knows.
+func (s *stewardSet) needed() bool { return s.wasSteward() || s.hasVacancy() }
 
-// vmCount returns the number of VMs that were spoken of lately.
+// vmCount returns the number of VMs that were reported recently.
 func (s *stewardSet) vmCount() int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return len(s.vms)
 }
 
-// readDirectory reads the leases from the store. If that fails, what is known of them stays.
+// readDirectory reads the directory of leases from the store. If that fails, the known directory stays in
+// place.
 func (s *stewardSet) readDirectory(ctx context.Context) error {
 	rows, err := s.table.List(ctx, "")
 	if err != nil {
-		return errors.Wrap(err, "list the leases")
+		return errors.Wrap(err, "list leases")
 	}
 	s.setDirectory(lease.ReadDirectory(rows))
 	return nil
 }
 
-// becomeSteward makes this VM a steward, unless its process is stopping.
+// becomeSteward makes this VM a steward. It returns false if the process is stopping.
 func (s *stewardSet) becomeSteward() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -210,7 +215,7 @@
 	return s.steward
 }
 
-// drain hands the leases over. A VM that is no steward has none.
+// drain hands over this VM's leases. A VM that is not a steward has none.
 func (s *stewardSet) drain(ctx context.Context) error {
 	s.mu.Lock()
 	s.draining = true
@@ -222,12 +227,12 @@
 	return s.leases.Drain(ctx)
 }
 
-// candidacyWait returns how long this VM waits before it looks whether it is needed.
+// candidacyWait returns how long this VM waits before it checks whether it is needed as a steward.
 func (s *stewardSet) candidacyWait() time.Duration {
 	return time.Duration(float64(candidacyDelay+rand.N(candidacyJitter)) / max(s.self.Cores, 0.05))
 }
 
-// awaitDirectory waits until something is known of the leases.
+// awaitDirectory waits until a directory of leases is known.
 func (s *stewardSet) awaitDirectory(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.mu.RLock()
@@ -240,18 +245,19 @@
 	}
 }
 
-// directoryPollInterval is the time between two looks at whether something is known of the leases.
+// directoryPollInterval is the interval between two checks whether a directory of leases is known.
 const directoryPollInterval = 10 * time.Millisecond
 
-// wasSteward reports whether an earlier process on this VM was a steward, whose session has not ended.
+// wasSteward reports whether an earlier incarnation of this VM's process was a steward and its session has not
+// ended yet.
 func (s *stewardSet) wasSteward() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return slices.ContainsFunc(s.directory.VMs, func(vm lease.SessionVM) bool { return vm.ID == s.self.ID })
 }
 
-// vacancy reports whether this VM is needed as a steward.
-func (s *stewardSet) vacancy() bool {
+// hasVacancy reports whether there are fewer than stewardCount stewards that are not draining.
+func (s *stewardSet) hasVacancy() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	if !s.directoryKnown {
@@ -266,21 +272,21 @@
 	return able < stewardCount
 }
 
-// recordVM takes in that a VM has asked this one, or has fallen silent.
+// recordVM records that a VM has polled this one, or that it has become unresponsive.
 func (s *stewardSet) recordVM(vm relay.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.vms[vm.ID] = knownVM{VM: vm, seenAt: time.Now()}
 }
 
-// applyVMUpdates takes in news of the VMs.
+// applyVMUpdates applies the reports of VMs that other VMs have sent, and discards expired VMs.
 func (s *stewardSet) applyVMUpdates(vms map[string][]byte, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, data := range vms {
 		var vm relay.VM
 		if err := json.Unmarshal(data, &vm); err != nil {
-			s.log.WithError(err).WithFields(logrus.Fields{"event": "vm_malformed", "vm": id}).Warn()
+			s.log.WithError(err).WithFields(logrus.Fields{"event": "vm_malformed", "vm": id}).Warn("cannot decode the record of a VM")
 			continue
 		}
 		s.vms[id] = knownVM{VM: vm, seenAt: now}
@@ -292,7 +298,7 @@
 	}
 }
 
-// Members implements allowance.Fleet: all VMs that may spend tokens.
+// Members implements allowance.Fleet. It returns all VMs that may spend tokens.
 func (s *stewardSet) Members() []membership.Member {
 	byID := map[string]membership.Member{
 		s.self.ID: {ID: s.self.ID, Incarnation: s.self.Incarnation, PeerAddress: s.self.Address},
--- a/pkg/gatewayd/stewards_test.go
+++ b/pkg/gatewayd/stewards_test.go
@@ -14,7 +14,7 @@
 	"github.com/mallowlink/mallowlink/pkg/relay"
 )
 
-// unavailableTable is a table that does not answer.
+// unavailableTable is a table whose store does not respond. It counts the calls.
 type unavailableTable struct{ calls int }
 
 func (d *unavailableTable) List(context.Context, string) ([]platform.Row, error) {
@@ -22,8 +22,9 @@
 	return nil, platform.ErrUnavailable
 }
 
-// A VM that is cut off from the store, and sees too few stewards, goes on asking the homes of accounts that
-// it knows: without them it would spend on its own.
+// A VM that is cut off from the store, and knows of too few stewards, must keep the known holders of the
+// leases. Otherwise it would no longer contact the homes of client accounts (the VMs that hold the accounts'
+// leases), and would spend tokens without their consent.
 func TestKnownHoldersRemainWhileStoreIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, _ := test.NewNullLogger()
@@ -41,6 +42,6 @@
 		require.True(t, ok)
 		require.Equal(t, home, holder)
 		require.Len(t, s.list(), 1)
-		require.False(t, s.isSteward(), "no steward without the store")
+		require.False(t, s.isSteward(), "the VM must not become a steward without the store")
 	})
 }
--- a/pkg/gatewayd/storereader.go
+++ b/pkg/gatewayd/storereader.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	// operatorLongPoll is how long one call waits for a change of the operator's rows. It bounds the time
-	// after which a VM knows that it has lost touch.
+	// operatorLongPoll is how long one call waits for a change of the operator's rows. It limits the time after
+	// which a VM notices that it has lost contact with the store.
 	operatorLongPoll = 800 * time.Millisecond
-	// endpointsPollInterval is the time between two looks at the list of endpoints, in which something changes
-	// with every heartbeat.
+	// endpointsPollInterval is the interval between two polls of the endpoint list. The list is polled without
+	// waiting for a change, because every heartbeat of an endpoint changes it.
 	endpointsPollInterval = 700 * time.Millisecond
-	// directoryReadInterval is the time between two looks at the leases by a VM that holds none.
+	// directoryReadInterval is the interval between two reads of the leases by a VM that is not a steward.
 	directoryReadInterval = time.Second
-	// lapseGrace is how long after an outage of the store an endpoint that has gone from the list may
-	// come back to it: its entry may have lapsed meanwhile.
+	// lapseGrace is how long after an outage of the store an endpoint that is missing from the list is kept: its
+	// row may have expired during the outage, and the endpoint may report again.
 	lapseGrace = 2200 * time.Millisecond
 )
 
-// storeReader reads the platform's store for this VM, and for those that ask it. It implements
-// relay.Reader.
+// storeReader reads the platform's store for this VM and for the VMs that poll it, and publishes the rows in
+// the update log. It implements relay.Reader.
 type storeReader struct {
 	platform            Platform
 	view                *fleetView
@@ -41,11 +41,11 @@
 	operator, endpoints *follow.Follower
 
 	mu sync.Mutex
-	// endpointRows are the rows of the list of endpoints, guarded by mu.
+	// endpointRows are the rows of the endpoint list, guarded by mu.
 	endpointRows map[string]platform.Row
-	// endpointsPosition is that of the table that listed is of, guarded by mu.
+	// endpointsPosition is the position in the table's history that endpointRows correspond to, guarded by mu.
 	endpointsPosition uint64
-	// lapsed are the endpoints that may come back to the list, guarded by mu.
+	// lapsed holds the endpoints that are kept for lapseGrace after an outage of the store, guarded by mu.
 	lapsed map[string]roster.Endpoint
 }
 
@@ -76,10 +76,11 @@
 	return clock.Elapsed(r.operator.Confirmed(), now), clock.Elapsed(r.endpoints.Confirmed(), now)
 }
 
-// confirmInterval is the time between two looks at what the store has confirmed.
+// confirmInterval is the interval at which the times of the store's last responses are copied to the fleet
+// view.
 const confirmInterval = 50 * time.Millisecond
 
-// propagateConfirmations passes on what the store has confirmed until ctx ends.
+// propagateConfirmations reports to the fleet view up to which times the rows are current, until ctx ends.
 func (r *storeReader) propagateConfirmations(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.view.confirm(r.operator.Confirmed(), r.endpoints.Confirmed())
@@ -107,8 +108,8 @@
 	r.publishEndpoints(time.Now())
 }
 
-// publishEndpoints takes in the list of endpoints as it is, and those that may come back to it. r.mu is
-// held.
+// publishEndpoints publishes the endpoint list, together with the endpoints that are kept after an outage, and
+// applies it to this VM's own view. The caller holds r.mu.
 func (r *storeReader) publishEndpoints(now time.Time) {
 	list := make([]roster.Endpoint, 0, len(r.endpointRows))
 	for key, row := range r.endpointRows {
@@ -126,38 +127,39 @@
 		list[i].Loaded = nil
 		data, err := json.Marshal(list[i])
 		if err != nil {
-			r.log.WithError(err).WithField("event", "endpoint_not_published").Error()
+			r.log.WithError(err).WithField("event", "endpoint_not_published").Error("cannot encode an endpoint; it is not passed on to other VMs")
 			continue
 		}
 		values[list[i].ID] = data
 	}
 	r.updateLog.Replace(relay.Endpoints, values)
-	// Published after the list: news of the one without the other then seems older than it is.
+	// The position is published after the list. A VM that receives the list without the position takes it for
+	// older than it is, never for newer.
 	r.updateLog.Replace(relay.Positions, map[string][]byte{string(relay.Endpoints): []byte(strconv.FormatUint(r.endpointsPosition, 10))})
 	r.view.applyEndpoints(list, r.endpointsPosition, r.endpoints.Confirmed())
 }
 
-// lapsedEndpoints returns the endpoints that are off the list and may come back to it, because the store has
-// returned from an outage lately. r.mu is held.
+// lapsedEndpoints returns the endpoints that are missing from the list but are kept, because the store has
+// recently recovered from an outage. The caller holds r.mu.
 func (r *storeReader) lapsedEndpoints(list []roster.Endpoint, now time.Time) []roster.Endpoint {
 	until := r.endpoints.Returned().Add(lapseGrace)
 	if now.After(until) {
 		clear(r.lapsed)
 		return nil
 	}
-	on := map[string]bool{}
+	onList := map[string]bool{}
 	for _, e := range list {
-		on[e.ID] = true
+		onList[e.ID] = true
 	}
 	for _, e := range r.view.roster.View().All() {
-		if !on[e.ID] && !e.Draining && r.lapsed[e.ID].ID == "" {
+		if !onList[e.ID] && !e.Draining && r.lapsed[e.ID].ID == "" {
 			r.lapsed[e.ID] = e
-			r.log.WithFields(logrus.Fields{"event": "endpoint_lapsed", "endpoint": e.ID, "kept_for": until.Sub(now).Round(time.Millisecond)}).Info()
+			r.log.WithFields(logrus.Fields{"event": "endpoint_lapsed", "endpoint": e.ID, "kept_for": until.Sub(now).Round(time.Millisecond)}).Info("endpoint is missing from the list after an outage of the store; it is kept for a while")
 		}
 	}
 	var kept []roster.Endpoint
 	for id, e := range r.lapsed {
-		if !on[id] {
+		if !onList[id] {
 			e.Kept = true
 			kept = append(kept, e)
 		}
@@ -172,12 +174,12 @@
 	return kept
 }
 
-// followDirectory keeps what is known of the leases up to date while this VM holds none itself.
+// followDirectory reads the leases from the store regularly while this VM is not a steward.
 func (r *storeReader) followDirectory(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !r.stewards.isSteward() {
 			if err := r.stewards.readDirectory(ctx); err != nil && ctx.Err() == nil {
-				r.log.WithError(err).WithField("event", "leases_not_read").Warn()
+				r.log.WithError(err).WithField("event", "leases_not_read").Warn("cannot read the leases from the store")
 			}
 		}
 		clock.Sleep(ctx, directoryReadInterval)
--- a/pkg/gatewayd/updates.go
+++ b/pkg/gatewayd/updates.go
@@ -12,14 +12,14 @@
 	"github.com/mallowlink/mallowlink/pkg/roster"
 )
 
-// updateApplier takes in what other VMs have read.
+// updateApplier applies the updates that other VMs send to this VM's fleet view and stewards.
 type updateApplier struct {
 	view     *fleetView
 	stewards *stewardSet
 	log      logrus.FieldLogger
 
 	mu sync.Mutex
-	// entries are the entries known, guarded by mu.
+	// entries are the current entries by topic and key, guarded by mu.
 	entries map[relay.Topic]map[string][]byte
 }
 
@@ -47,7 +47,7 @@
 	a.view.confirm(operator, endpoints)
 }
 
-// storeEntries keeps the entries and returns the topics that have changed. n.mu is held.
+// storeEntries stores the entries and returns the topics that have changed. The caller holds a.mu.
 func (a *updateApplier) storeEntries(entries []relay.Entry, full bool) map[relay.Topic]bool {
 	changed := map[relay.Topic]bool{}
 	if full {
@@ -70,7 +70,7 @@
 	return changed
 }
 
-// applyEndpoints takes in the list of endpoints, which was current at confirmed. n.mu is held.
+// applyEndpoints applies the endpoint list, which was current at the time confirmed. The caller holds a.mu.
 func (a *updateApplier) applyEndpoints(confirmed time.Time) {
 	var position uint64
 	key := string(relay.Endpoints)
@@ -88,7 +88,7 @@
 	a.view.applyEndpoints(list, position, confirmed)
 }
 
-// applyDirectory takes in what is known of the leases. n.mu is held.
+// applyDirectory applies the holders of the leases and the stewards. The caller holds a.mu.
 func (a *updateApplier) applyDirectory() {
 	d := lease.Directory{Holders: map[string]lease.Holder{}}
 	for name, data := range a.entries[relay.Leases] {
@@ -107,10 +107,10 @@
 	a.stewards.setDirectory(d)
 }
 
-// decode reads an entry. It reports false, and logs, if that fails.
+// decode decodes an entry. If the entry is malformed, it logs this and returns false.
 func (a *updateApplier) decode(topic relay.Topic, key string, data []byte, to any) bool {
 	if err := json.Unmarshal(data, to); err != nil {
-		a.log.WithError(err).WithFields(logrus.Fields{"event": "news_malformed", "topic": topic, "key": key}).Warn()
+		a.log.WithError(err).WithFields(logrus.Fields{"event": "news_malformed", "topic": topic, "key": key}).Warn("cannot decode an update from another VM")
 		return false
 	}
 	return true
--- a/pkg/gatewayd/updates_test.go
+++ b/pkg/gatewayd/updates_test.go
@@ -13,7 +13,7 @@
 	"github.com/mallowlink/mallowlink/pkg/roster"
 )
 
-// updatesOf returns the entries of a board with that list of endpoints.
+// updatesOf returns the update log entries for an endpoint list at a position of its table.
 func updatesOf(t *testing.T, position uint64, list ...roster.Endpoint) []relay.Entry {
 	t.Helper()
 	entries := []relay.Entry{{
@@ -31,8 +31,8 @@
 	return roster.Endpoint{Incarnation: roster.Incarnation{ID: id, Started: 1}, Group: "g", Draining: draining}
 }
 
-// A VM turns to another one that has read the store long ago, and not since: the endpoints that have come and
-// gone meanwhile stay as they are known.
+// A VM switches to polling another VM whose last read of the store is long ago. The outdated list must not undo
+// the additions, removals and drains of endpoints that the VM has received since.
 func TestOutdatedUpdateDoesNotReplaceEndpointList(t *testing.T) {
 	log, _ := test.NewNullLogger()
 	v := newFleetView(Platform{}, log)
@@ -52,37 +52,38 @@
 	// The other VM reads the store again.
 	later := now.Add(time.Second)
 	a.apply(updatesOf(t, 370, listedEndpoint("b", false)), false, later, later)
-	require.Equal(t, []string{"a", "b", "gone", "leaving"}, ids(v.roster.View().All()), "all that it has listed")
+	require.Equal(t, []string{"a", "b", "gone", "leaving"}, ids(v.roster.View().All()), "the current list of the other VM must be applied")
 }
 
-// A VM that was cut off from the store has lost sight of an endpoint that has left meanwhile, and keeps it for a
-// while. The others have seen it go.
+// A VM that was cut off from the store has missed the removal of an endpoint and keeps the endpoint for a
+// while. VMs that have seen the removal must not add the endpoint again.
 func TestRemovedEndpointIsNotListedAgainByVMThatMissedTheRemoval(t *testing.T) {
 	log, _ := test.NewNullLogger()
 	now := time.Now()
 	kept := listedEndpoint("gone", false)
 	kept.Kept = true
 
-	saw := newFleetView(Platform{}, log)
-	saw.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), listedEndpoint("gone", false)}, 350, now)
-	saw.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false)}, 360, now)
-	saw.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), kept}, 370, now)
-	require.Equal(t, []string{"a"}, ids(saw.roster.View().All()))
-	saw.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), listedEndpoint("gone", false)}, 380, now)
-	require.Equal(t, []string{"a", "gone"}, ids(saw.roster.View().All()), "it is on the list again")
+	sawRemoval := newFleetView(Platform{}, log)
+	sawRemoval.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), listedEndpoint("gone", false)}, 350, now)
+	sawRemoval.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false)}, 360, now)
+	sawRemoval.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), kept}, 370, now)
+	require.Equal(t, []string{"a"}, ids(sawRemoval.roster.View().All()))
+	sawRemoval.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), listedEndpoint("gone", false)}, 380, now)
+	require.Equal(t, []string{"a", "gone"}, ids(sawRemoval.roster.View().All()), "the endpoint is on the platform's list again")
 
-	// For this one the store was away as well.
-	missed := newFleetView(Platform{}, log)
-	missed.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), listedEndpoint("gone", false)}, 350, now)
-	missed.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), kept}, 370, now)
-	require.Equal(t, []string{"a", "gone"}, ids(missed.roster.View().All()))
+	// This VM was cut off from the store as well, and has not seen the removal.
+	missedRemoval := newFleetView(Platform{}, log)
+	missedRemoval.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), listedEndpoint("gone", false)}, 350, now)
+	missedRemoval.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), kept}, 370, now)
+	require.Equal(t, []string{"a", "gone"}, ids(missedRemoval.roster.View().All()))
 
-	started := newFleetView(Platform{}, log)
-	started.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), kept}, 370, now)
-	require.Equal(t, []string{"a", "gone"}, ids(started.roster.View().All()))
+	justStarted := newFleetView(Platform{}, log)
+	justStarted.applyEndpoints([]roster.Endpoint{listedEndpoint("a", false), kept}, 370, now)
+	require.Equal(t, []string{"a", "gone"}, ids(justStarted.roster.View().All()))
 }
 
-// A table that was made anew starts at lower positions.
+// The positions of a table that was created anew start low again. A lower position must be accepted if it was
+// confirmed later than the known one.
 func TestLowerPositionConfirmedLaterIsAccepted(t *testing.T) {
 	log, _ := test.NewNullLogger()
 	v := newFleetView(Platform{}, log)
--- a/pkg/gatewayd/wiring.go
+++ b/pkg/gatewayd/wiring.go
@@ -30,7 +30,7 @@
 	"github.com/mallowlink/mallowlink/pkg/upstream"
 )
 
-// identity says which process this is.
+// identity identifies this process: the VM and the incarnation of the process on it.
 type identity struct {
 	vm          string
 	incarnation string
@@ -45,13 +45,13 @@
 	return identity{vm: s.VM, incarnation: membership.NewIncarnation(now), started: now}, nil
 }
 
-// newLog returns the log, and the logger that adds the VM to each line.
+// newLog returns the log, and a logger that adds the VM to each line.
 func newLog(s Settings, out io.Writer, registry metrics.Registry) (*eventlog.Log, logrus.FieldLogger, error) {
 	level := logrus.InfoLevel
 	if s.LogLevel != "" {
 		var err error
 		if level, err = logrus.ParseLevel(s.LogLevel); err != nil {
-			return nil, nil, errors.Wrap(err, "log level")
+			return nil, nil, errors.Wrap(err, "parse log level")
 		}
 	}
 	log := eventlog.New(out, eventlog.Options{Level: level, Metrics: registry})
@@ -62,7 +62,7 @@
 	return connect(s, registry)
 }
 
-// background is the context of work that lasts as long as the process.
+// background is the context of work that runs as long as the process.
 type background struct {
 	context.Context
 	cancel context.CancelFunc
@@ -73,7 +73,8 @@
 	return background{ctx, cancel}
 }
 
-// leaseListeners are bound before anything starts, so that a port in use is found at once.
+// listeners are the process's sockets. They are bound before any component starts, so that a port that is
+// already in use is reported at once.
 type listeners struct {
 	callers, readiness, peer, metrics net.Listener
 }
@@ -109,14 +110,14 @@
 	}
 }
 
-// outbound are the connections to endpoints.
+// outbound holds the connection pools and the client for requests to endpoints.
 type outbound struct {
 	pools  *upstream.Pools
 	client *upstream.Client
 }
 
-// Names of the counters of the way to endpoints: connections opened, and endpoints that have said in an answer that they
-// leave.
+// Names of the counters of connections opened to endpoints, and of endpoints that have announced in a response
+// that they are about to terminate.
 const (
 	metricDials   = "upstream.dials"
 	metricLeaving = "upstream.leaving"
@@ -136,8 +137,8 @@
 	})}
 }
 
-// peers are the calls between VMs. The platform gives the process no certificates; its network admits
-// only the deployment's own VMs to the peer port.
+// peers holds the client and the server for calls between VMs. Calls are in plain text: the platform gives the
+// process no certificates, and its network admits only the deployment's own VMs to the peer port.
 type peers struct {
 	pool   *peer.Pool
 	server *peer.Server
@@ -157,13 +158,14 @@
 	}
 }
 
-// coordination is what the process knows of the other VMs, and its leases.
+// coordination holds the components that coordinate this VM with the other ones: membership, leases and the set
+// of stewards.
 type coordination struct {
 	members        *membership.Registry
 	leases         *lease.Manager
 	stewards       *stewardSet
 	leaseListeners *leaseListeners
-	// table is mallowlink's own table.
+	// table mirrors mallowlink's own table in the platform's store.
 	table *follow.Mirror
 }
 
@@ -199,15 +201,16 @@
 	return coordination{members: members, leases: leases, stewards: stewards, leaseListeners: subscribers, table: table}
 }
 
-// leaseListInterval is the time between two listings of the leases while nothing happens. It is less than a
-// lease lasts, so that a VM can act on its peers' word as soon as the table is down.
+// leaseListInterval is the interval between two listings of the leases while nothing changes. It is shorter
+// than the duration of a lease, so that a VM can rely on what its peers report as soon as the table becomes
+// unavailable.
 const leaseListInterval = 1900 * time.Millisecond
 
-// leaseRenewInterval is the time between two renewals of a VM's leases. Two of them fit into the time that a
-// lease lasts.
+// leaseRenewInterval is the interval between two renewals of a VM's leases. Two renewals fit into the duration
+// of a lease.
 const leaseRenewInterval = 1200 * time.Millisecond
 
-// leaseNames returns the leases that some VM should hold.
+// leaseNames returns the names of all leases that some VM should hold.
 func leaseNames(view *fleetView) []string {
 	names := orders.LeaseNames()
 	for _, account := range view.accountNames() {
@@ -216,29 +219,30 @@
 	return names
 }
 
-// leaseListeners passes leases gained and lost on to every part that acts under leases. It is filled
-// before the leases run.
+// leaseListeners forwards gained and lost leases to every component that acts under leases. Its fields are set
+// before the lease manager runs.
 type leaseListeners struct {
 	listeners []lease.Listener
-	// note returns what to write down of a lease with each renewal.
+	// note returns the record to store in a lease with each renewal, for the lease's next holder.
 	note func(name string) []byte
 }
 
 // LeaseGained implements lease.Listener.
-func (s *leaseListeners) LeaseGained(grant lease.Grant) {
-	for _, part := range s.listeners {
-		part.LeaseGained(grant)
+func (l *leaseListeners) LeaseGained(grant lease.Grant) {
+	for _, listener := range l.listeners {
+		listener.LeaseGained(grant)
 	}
 }
 
 // LeaseLost implements lease.Listener.
-func (s *leaseListeners) LeaseLost(name string) {
-	for _, part := range s.listeners {
-		part.LeaseLost(name)
+func (l *leaseListeners) LeaseLost(name string) {
+	for _, listener := range l.listeners {
+		listener.LeaseLost(name)
 	}
 }
 
-// allowances are the two sides of the client accounts' limits.
+// allowances holds the two sides that enforce the client accounts' limits: home hands out tokens for the
+// accounts whose leases this VM holds, holder spends the tokens that this VM has obtained.
 type allowances struct {
 	home   *allowance.Home
 	holder *allowance.Holder
@@ -291,7 +295,7 @@
 	})
 }
 
-// suspects keep requests that crash the endpoints that run them from endpoints.
+// suspects holds the components that keep requests that crash endpoints from being sent to further endpoints.
 type suspects struct {
 	detector *suspect.Watch
 	syncer   *suspect.Share
@@ -308,7 +312,7 @@
 	return suspects{detector: detector, syncer: syncer, store: suspect.NewRows(syncer, coord.table)}
 }
 
-// run passes on what is found until ctx ends.
+// run shares crash reports with other VMs and with the store until ctx ends.
 func (s suspects) run(ctx context.Context) {
 	go s.store.Run(ctx)
 	s.syncer.Run(ctx)
@@ -332,11 +336,11 @@
 }
 
 const (
-	// bufferMemoryShare is the part of a VM's memory that bodies and answers under way may take, and defaultBufferBytes what they may take
-	// where the settings do not bound it.
+	// bufferMemoryShare is the share of a VM's memory that buffered request and response bodies may use, and
+	// defaultBufferBytes their limit if the settings do not limit the VM's memory.
 	bufferMemoryShare  = 0.2
 	defaultBufferBytes = 64 << 20
-	// metricBufferMemory is the gauge of what they take, in bytes.
+	// metricBufferMemory is the name of the gauge of the memory that these bodies use, in bytes.
 	metricBufferMemory = "gateway.memory_held"
 )
 
@@ -350,13 +354,12 @@
 	return budget
 }
 
-// keyValidityShare is the part of the time within which a withdrawn key must stop working for which a VM without
-// news goes on serving keys. The rest is for changes that a feed passes on late, and for requests on
-// their way.
+// keyValidityShare is the share of Bounds.KeyWithdrawal for which a VM that receives no updates goes on
+// accepting keys. The rest allows for feeds that deliver changes late, and for requests in transit.
 const keyValidityShare = 0.7
 
-// keysValid reports whether no key can have been withdrawn for so long that it must no longer work without
-// this VM knowing.
+// keysValid reports whether the configuration is recent enough to accept keys by it: no key can have been
+// withdrawn for longer than the bounds allow without this VM having received the withdrawal.
 func keysValid(view *fleetView, bounds Bounds) bool {
 	return view.rulesAge().Seconds() < keyValidityShare*bounds.KeyWithdrawal.Seconds()
 }
@@ -379,15 +382,15 @@
 }
 
 const (
-	// usableRetryShare is the part of the fleet-wide bound of repeats that the VMs use: requests spread
-	// unevenly over the VMs and over the window.
+	// usableRetryShare is the share of the fleet-wide retry limit that the VMs use. The rest allows for
+	// requests that are spread unevenly over the VMs and over the window.
 	usableRetryShare = 0.8
-	// maxRetryReserve bounds the repeats of one VM without any traffic. A VM that has just started may
-	// know of no other.
+	// maxRetryReserve limits the retries of one VM within a window without any traffic. A VM that has just
+	// started may not know of any other VM, and would otherwise use the reserve of the whole fleet.
 	maxRetryReserve = 4
 )
 
-// retryLimiter bound the repeated requests to each group.
+// retryLimiter limits the retries to each endpoint group.
 type retryLimiter struct {
 	bounds RetryBounds
 	fleet  allowance.Fleet
@@ -396,8 +399,8 @@
 	// The fields below are guarded by mu.
 
 	windows map[string]*retry.Window // by group
-	// maxMembers is the greatest number of VMs that this one has known of at once. VMs that are cut off from each other
-	// must not each take the repeats of a small fleet.
+	// maxMembers is the greatest number of VMs that this VM has known at once. VMs that are cut off from each
+	// other must not each use the retry reserve of a small fleet.
 	maxMembers int
 }
 
@@ -405,7 +408,7 @@
 	return &retryLimiter{bounds: b, fleet: f, windows: map[string]*retry.Window{}}
 }
 
-// reserve returns this VM's part of the repeats that the fleet may make without any traffic.
+// reserve returns this VM's part of the retries that the fleet may make without any traffic.
 func (r *retryLimiter) reserve() float64 {
 	members := len(r.fleet.Members())
 	r.mu.Lock()
@@ -425,8 +428,8 @@
 	return w
 }
 
-// connectComponents tells every part that acts under leases of leases gained and lost, and the leases and
-// orders of what has changed.
+// connectComponents sets the callbacks between components that cannot be passed to their constructors, because
+// the components depend on each other.
 func connectComponents(coord coordination, view *fleetView, o *orders.Service, a allowances, d *dispatch.Dispatcher, p *process) {
 	view.onEndpointRead = d.Seen
 	coord.leaseListeners.listeners = []lease.Listener{o, a.home}
@@ -448,7 +451,7 @@
 	}
 }
 
-// registerServices offers this VM's services to the other VMs.
+// registerServices registers this VM's net/rpc services for calls from other VMs.
 func registerServices(pp peers, coord coordination, a allowances, o *orders.Service, n *relay.Node, sus suspects) error {
 	services := []struct {
 		name     string
