--- a/pkg/gatewayd/stewards.go
+++ b/pkg/gatewayd/stewards.go
@@ -219,9 +219,9 @@
 func (s *stewardSet) drain(ctx context.Context) error {
 	s.mu.Lock()
 	s.draining = true
-	running := s.steward
+	steward := s.steward
 	s.mu.Unlock()
-	if !running {
+	if !steward {
 		return nil
 	}
 	return s.leases.Drain(ctx)
@@ -263,13 +263,13 @@
 	if !s.directoryKnown {
 		return false
 	}
-	able := 0
+	notDraining := 0
 	for _, vm := range s.directory.VMs {
 		if !vm.Draining {
-			able++
+			notDraining++
 		}
 	}
-	return able < stewardCount
+	return notDraining < stewardCount
 }
 
 // recordVM records that a VM has polled this one, or that it has become unresponsive.
--- a/pkg/gatewayd/wiring.go
+++ b/pkg/gatewayd/wiring.go
@@ -428,8 +428,9 @@
 	return w
 }
 
-// connectComponents sets the callbacks between components that cannot be passed to their constructors, because
-// the components depend on each other.
+// connectComponents sets the callbacks that cannot be passed to constructors, because the components depend on
+// each other: gained and lost leases are forwarded to every component that acts under leases, changes of the
+// fleet view to the orders and the leases, and changes of the membership to the leases.
 func connectComponents(coord coordination, view *fleetView, o *orders.Service, a allowances, d *dispatch.Dispatcher, p *process) {
 	view.onEndpointRead = d.Seen
 	coord.leaseListeners.listeners = []lease.Listener{o, a.home}
