--- /dev/null
+++ b/pkg/gatewayd/fleetview.go
@@ -0,0 +1,345 @@
+package gatewayd
+
+import (
+	"bytes"
+	"maps"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"github.com/mallowlink/mallowlink/pkg/allowance"
+	"github.com/mallowlink/mallowlink/pkg/bundle"
+	"github.com/mallowlink/mallowlink/pkg/clock"
+	"github.com/mallowlink/mallowlink/pkg/gateway"
+	"github.com/mallowlink/mallowlink/pkg/orders"
+	"github.com/mallowlink/mallowlink/pkg/residency"
+	"github.com/mallowlink/mallowlink/pkg/roster"
+	"github.com/mallowlink/mallowlink/pkg/suspect"
+)
+
+// fleetView is this VM's view of the operator's rows (the configuration and the declared adapter versions) and
+// of the endpoints. It is safe for concurrent use.
+type fleetView struct {
+	platform Platform
+	log      logrus.FieldLogger
+	roster   *roster.Roster
+	rules    atomic.Pointer[gateway.Rules]
+	// onChange is called after the endpoint list or the operator's rows have been applied. It is set before any
+	// component starts.
+	onChange func()
+	// onEndpointRead is called with each endpoint that this VM itself has read from the platform's list. It is
+	// set before any component starts.
+	onEndpointRead func(roster.Endpoint)
+
+	// replaceMu is held while the endpoint list is replaced.
+	replaceMu sync.Mutex
+
+	mu sync.RWMutex
+	// The fields below are guarded by mu.
+
+	// newestVersions are the newest versions of adapters that the operator has declared.
+	newestVersions map[residency.Key]int
+	// leaving maps the endpoint incarnations that have announced in a response that they are about to terminate
+	// to the time of the announcement or of their last listing, whichever is later.
+	leaving map[roster.Incarnation]time.Time
+	// malformed maps the keys of rows that could not be decoded to the values that were logged last.
+	malformed map[string][]byte
+	// operatorConfirmedAt and endpointsConfirmedAt are the times up to which the operator's rows and the
+	// endpoint list are known to be current.
+	operatorConfirmedAt, endpointsConfirmedAt time.Time
+	// endpointsPosition is the position in the table's history that the endpoint list corresponds to.
+	endpointsPosition uint64
+}
+
+func newFleetView(p Platform, log logrus.FieldLogger) *fleetView {
+	return &fleetView{
+		platform: p, log: log, roster: roster.New(), onChange: func() {}, onEndpointRead: func(roster.Endpoint) {},
+		newestVersions: map[residency.Key]int{}, leaving: map[roster.Incarnation]time.Time{}, malformed: map[string][]byte{},
+	}
+}
+
+// applyOperatorRows applies the operator's rows. A configuration or an adapter version older than the known one
+// is ignored.
+func (v *fleetView) applyOperatorRows(rows map[string][]byte) {
+	for key, value := range rows {
+		decoded, err := v.platform.DecodeOperator(key, value)
+		if err != nil {
+			v.logMalformed("operator_row_malformed", key, value, err)
+			continue
+		}
+		if decoded.Config != nil {
+			v.applyConfig(decoded.Config)
+		}
+		if decoded.Version != nil {
+			v.applyAdapterVersion(*decoded.Version)
+		}
+	}
+	v.onChange()
+}
+
+func (v *fleetView) applyConfig(config *bundle.Bundle) {
+	old := v.rules.Load()
+	if old != nil && old.Bundle.Version >= config.Version {
+		return
+	}
+	v.rules.Store(gateway.NewRules(config))
+	for _, a := range config.Accounts {
+		if old == nil || old.Bundle.Accounts[a.Name] != a {
+			v.log.WithFields(logrus.Fields{"event": "account_limit", "account": a.Name, "rate": a.Rate, "burst": a.Burst}).Info("limit of a client account set")
+		}
+	}
+	v.log.WithFields(logrus.Fields{
+		"event": "config_in_force", "version": config.Version, "routes": len(config.Routes),
+		"accounts": len(config.Accounts), "keys": len(config.Keys),
+	}).Info("new configuration in force")
+}
+
+func (v *fleetView) applyAdapterVersion(a roster.Adapter) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	key := residency.KeyOf(a)
+	if v.newestVersions[key] >= a.Version {
+		return
+	}
+	v.newestVersions[key] = a.Version
+	v.log.WithFields(logrus.Fields{"event": "adapter_version", "adapter": a.Name, "version": a.Version}).Info("operator declared a new adapter version")
+}
+
+// newestVersion returns the newest version of an adapter that the operator has declared, or 0 if there is none.
+func (v *fleetView) newestVersion(key residency.Key) int {
+	v.mu.RLock()
+	defer v.mu.RUnlock()
+	return v.newestVersions[key]
+}
+
+// logMalformed logs a row that cannot be decoded, once for each value of the row.
+func (v *fleetView) logMalformed(event, key string, value []byte, err error) {
+	v.mu.Lock()
+	known := bytes.Equal(v.malformed[key], value)
+	v.malformed[key] = value
+	v.mu.Unlock()
+	if !known {
+		v.log.WithError(err).WithFields(logrus.Fields{"event": event, "key": key}).Warn("cannot decode a row of the store; the row is ignored")
+	}
+}
+
+// applyEndpoints applies the endpoint list that corresponds to a position of its table and was current at the
+// time confirmed. Lists of other VMs that are older than the known one are ignored. An endpoint incarnation
+// that was seen draining stays draining. An endpoint that this VM knows to be removed is not added again
+// because another VM, which lost contact with the store, still keeps it.
+func (v *fleetView) applyEndpoints(list []roster.Endpoint, position uint64, confirmed time.Time) {
+	if v.replaceEndpoints(list, position, confirmed) {
+		v.onChange()
+	}
+}
+
+// replaceEndpoints does the work of applyEndpoints without calling onChange. It returns false if the list is
+// ignored.
+func (v *fleetView) replaceEndpoints(list []roster.Endpoint, position uint64, confirmed time.Time) bool {
+	v.replaceMu.Lock()
+	defer v.replaceMu.Unlock()
+	if !v.acceptPosition(position, confirmed) {
+		return false
+	}
+	old := v.roster.View()
+	first := len(old.All()) == 0
+	list = slices.DeleteFunc(list, func(e roster.Endpoint) bool {
+		before, known := old.Endpoint(e.ID)
+		return e.Kept && !first && (!known || before.Incarnation != e.Incarnation)
+	})
+	for i, e := range list {
+		before, known := old.Endpoint(e.ID)
+		if known && before.Incarnation == e.Incarnation && before.Draining {
+			list[i].Draining = true
+		}
+	}
+	v.setEndpoints(old, list)
+	return true
+}
+
+// setEndpoints replaces the endpoint list. The caller holds v.replaceMu.
+func (v *fleetView) setEndpoints(old *roster.View, list []roster.Endpoint) {
+	v.markLeaving(list, time.Now())
+	view := roster.NewView(list)
+	v.logEndpointChanges(old, view)
+	v.roster.Set(view)
+}
+
+// leavingRetention is how long after it was last listed an endpoint incarnation that has announced its
+// termination is remembered. A VM that was cut off may still send lists that contain it.
+const leavingRetention = 10 * time.Minute
+
+// markLeaving marks the endpoints that have announced their termination as draining, whatever the list says.
+func (v *fleetView) markLeaving(list []roster.Endpoint, now time.Time) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	for i, e := range list {
+		if _, left := v.leaving[e.Incarnation]; left {
+			list[i].Draining = true
+			v.leaving[e.Incarnation] = now
+		}
+	}
+	maps.DeleteFunc(v.leaving, func(_ roster.Incarnation, listed time.Time) bool { return now.Sub(listed) > leavingRetention })
+}
+
+// recordLeaving records that an endpoint incarnation has announced in a response that it is about to terminate.
+// It returns false if this was known.
+func (v *fleetView) recordLeaving(id roster.Incarnation) bool {
+	v.mu.Lock()
+	_, known := v.leaving[id]
+	v.leaving[id] = time.Now()
+	v.mu.Unlock()
+	if known {
+		return false
+	}
+	v.log.WithFields(logrus.Fields{"event": "endpoint_leaves", "endpoint": id.ID, "started": id.Started}).Info("endpoint announced that it is about to terminate")
+	v.replaceMu.Lock()
+	old := v.roster.View()
+	v.setEndpoints(old, slices.Clone(old.All()))
+	v.replaceMu.Unlock()
+	v.onChange()
+	return true
+}
+
+// acceptPosition reports whether an endpoint list is at least as recent as the known one, and records its
+// position. A lower position that was confirmed later than the known list belongs to a table that was created
+// anew.
+func (v *fleetView) acceptPosition(position uint64, confirmed time.Time) bool {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if position < v.endpointsPosition && !confirmed.After(v.endpointsConfirmedAt) {
+		v.log.WithFields(logrus.Fields{
+			"event": "endpoints_outdated", "position": position, "known": v.endpointsPosition,
+			"behind": v.endpointsConfirmedAt.Sub(confirmed).Round(time.Millisecond),
+		}).Info("ignored an endpoint list that is older than the known one")
+		return false
+	}
+	v.endpointsPosition = position
+	return true
+}
+
+// confirm records the times up to which the operator's rows and the endpoint list are known to be current.
+func (v *fleetView) confirm(operator, endpoints time.Time) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if operator.After(v.operatorConfirmedAt) {
+		v.operatorConfirmedAt = operator
+	}
+	if endpoints.After(v.endpointsConfirmedAt) {
+		v.endpointsConfirmedAt = endpoints
+	}
+}
+
+// rulesAge returns the time since the operator's rows were last known to be current.
+func (v *fleetView) rulesAge() time.Duration {
+	v.mu.RLock()
+	defer v.mu.RUnlock()
+	return ageSince(v.operatorConfirmedAt)
+}
+
+// endpointsAge returns the time since the endpoint list was last known to be current.
+func (v *fleetView) endpointsAge() time.Duration {
+	v.mu.RLock()
+	defer v.mu.RUnlock()
+	return ageSince(v.endpointsConfirmedAt)
+}
+
+// unknownAge is the age of information that was never received.
+const unknownAge = 24 * time.Hour
+
+func ageSince(confirmed time.Time) time.Duration {
+	if confirmed.IsZero() {
+		return unknownAge
+	}
+	return clock.Elapsed(confirmed, time.Now())
+}
+
+// logEndpointChanges logs the endpoints that were added, were removed, were restarted, or have changed whether
+// they are draining.
+func (v *fleetView) logEndpointChanges(old, view *roster.View) {
+	for _, e := range view.All() {
+		before, known := old.Endpoint(e.ID)
+		if known && before.Incarnation == e.Incarnation && before.Draining == e.Draining {
+			continue
+		}
+		v.log.WithFields(logrus.Fields{
+			"event": "endpoint_listed", "endpoint": e.ID, "group": e.Group, "address": e.Address,
+			"started": e.Started, "draining": e.Draining,
+		}).Info("endpoint added to the list, restarted or changed")
+	}
+	for _, e := range old.All() {
+		if _, still := view.Endpoint(e.ID); !still {
+			v.log.WithFields(logrus.Fields{"event": "endpoint_unlisted", "endpoint": e.ID, "group": e.Group}).Info("endpoint removed from the list")
+		}
+	}
+}
+
+// accountLimit returns a client account's limit, or false if there is no configuration or no such account.
+func (v *fleetView) accountLimit(account string) (allowance.Limit, bool) {
+	rules := v.rules.Load()
+	if rules == nil {
+		return allowance.Limit{}, false
+	}
+	a, ok := rules.Bundle.Accounts[account]
+	return allowance.Limit{Rate: a.Rate, Burst: a.Burst}, ok
+}
+
+// accountNames returns the names of all client accounts in the configuration.
+func (v *fleetView) accountNames() []string {
+	rules := v.rules.Load()
+	if rules == nil {
+		return nil
+	}
+	names := make([]string, 0, len(rules.Bundle.Accounts))
+	for name := range rules.Bundle.Accounts {
+		names = append(names, name)
+	}
+	return names
+}
+
+// engineSpec returns the specification of a group's engines, or false if the group has none.
+func (v *fleetView) engineSpec(group string) (orders.Spec, bool) {
+	rules := v.rules.Load()
+	if rules == nil || rules.Bundle.Groups[group].Engine == nil {
+		return orders.Spec{}, false
+	}
+	g := rules.Bundle.Groups[group]
+	return orders.Spec{
+		Places: g.Engine.MaxAdapters, Slots: g.Engine.Slots, CacheTokens: g.Engine.CacheTokens, Model: g.Model, ModelLoad: g.Engine.ModelLoad,
+	}, true
+}
+
+// group returns the configuration of an endpoint group, or false if there is none.
+func (v *fleetView) group(name string) (bundle.Group, bool) {
+	rules := v.rules.Load()
+	if rules == nil {
+		return bundle.Group{}, false
+	}
+	g, ok := rules.Bundle.Groups[name]
+	return g, ok
+}
+
+// listing returns whether the endpoint list contains this incarnation of an endpoint, a later one, or one that
+// is draining.
+func (v *fleetView) listing(e roster.Endpoint) suspect.Listing {
+	now, listed := v.roster.View().Endpoint(e.ID)
+	switch {
+	case !listed || now.Started == e.Started && now.Draining:
+		return suspect.Leaving
+	case now.Started > e.Started:
+		return suspect.Replaced
+	}
+	return suspect.Current
+}
+
+// configVersion returns the version of the configuration in force, or 0 before the first one.
+func (v *fleetView) configVersion() uint64 {
+	rules := v.rules.Load()
+	if rules == nil {
+		return 0
+	}
+	return rules.Bundle.Version
+}
--- a/pkg/gatewayd/stewards.go
+++ b/pkg/gatewayd/stewards.go
@@ -20,66 +20,69 @@
 )
 
 const (
-	// stewardCount is the number of VMs that hold leases and read the store, if there are as many. More
-	// of them spread orders further, and each costs calls to the store.
+	// stewardCount is the number of stewards if there are that many VMs. More stewards would spread the orders
+	// to engines over more VMs, but each one adds calls to the store.
 	stewardCount = 8
-	// volunteerStep is the time for which a VM with a whole core waits before it becomes a steward, and
-	// volunteerSpread the random time on top; weaker VMs wait longer, so that able ones come first.
-	volunteerStep   = 150 * time.Millisecond
-	volunteerSpread = 300 * time.Millisecond
-	// forgetAfter is how long a VM that is no longer spoken of is still counted.
-	forgetAfter = 10 * time.Second
+	// candidacyDelay is how long a VM with one whole core waits before it becomes a steward, and candidacyJitter
+	// the maximum random time on top. VMs with a smaller share of a core wait longer, so that more powerful VMs
+	// become stewards first.
+	candidacyDelay  = 150 * time.Millisecond
+	candidacyJitter = 300 * time.Millisecond
+	// vmExpiry is how long a VM is still counted that is no longer reported by other VMs and does not poll this
+	// one.
+	vmExpiry = 10 * time.Second
 )
 
-// stewards knows the VMs that hold leases, and makes this VM one of them when there are too few. It
-// implements lease.Lessor for all VMs.
-type stewards struct {
-	self    relay.VM
-	table   lister
-	members *membership.Registry
-	leases  *lease.Manager
-	board   *relay.Board
-	log     logrus.FieldLogger
+// stewardSet tracks the stewards and the other VMs, and makes this VM a steward if there are too few. It
+// implements lease.Lessor on every VM, steward or not. It is safe for concurrent use.
+type stewardSet struct {
+	self      relay.VM
+	table     rowLister
+	members   *membership.Registry
+	leases    *lease.Manager
+	updateLog *relay.Board
+	log       logrus.FieldLogger
 
 	mu sync.RWMutex
 	// The fields below are guarded by mu.
 
-	running bool
-	// draining says that the process is stopping: it does not become a steward any more.
-	draining  bool
-	directory lease.Directory
-	known     bool
-	vms       map[string]seenVM
+	steward bool
+	// draining says that the process is stopping and must not become a steward any more.
+	draining       bool
+	directory      lease.Directory
+	directoryKnown bool
+	vms            map[string]knownVM
 }
 
-// lister lists the rows of mallowlink's own table. *follow.Mirror implements it.
-type lister interface {
+// rowLister lists the rows of mallowlink's own table. *follow.Mirror implements it.
+type rowLister interface {
 	List(ctx context.Context, prefix string) ([]platform.Row, error)
 }
 
-// seenVM is a VM that was spoken of at that time.
-type seenVM struct {
+// knownVM is a VM with the time when it was last reported.
+type knownVM struct {
 	relay.VM
-	at time.Time
+	seenAt time.Time
 }
 
-// active reports whether this VM holds leases, or wants to.
-func (s *stewards) active() bool {
+// isSteward reports whether this VM has become a steward: it holds leases or claims them.
+func (s *stewardSet) isSteward() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.running
+	return s.steward
 }
 
-// take takes in what was read or heard of the leases.
-func (s *stewards) take(d lease.Directory) {
+// setDirectory replaces the directory of leases by one that was read from the store or received from another
+// VM.
+func (s *stewardSet) setDirectory(d lease.Directory) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.directory, s.known = d, true
+	s.directory, s.directoryKnown = d, true
 }
 
-// current returns what is known of the leases.
-func (s *stewards) current() lease.Directory {
-	if s.active() {
+// currentDirectory returns the newest known directory of leases.
+func (s *stewardSet) currentDirectory() lease.Directory {
+	if s.isSteward() {
 		return s.leases.Directory()
 	}
 	s.mu.RLock()
@@ -87,17 +90,18 @@
 	return s.directory
 }
 
-// list returns the stewards in the order in which VMs turn to them.
-func (s *stewards) list() []relay.VM {
+// list returns the stewards in the order in which other VMs poll them.
+func (s *stewardSet) list() []relay.VM {
 	var list []relay.VM
-	for _, vm := range s.current().VMs {
+	for _, vm := range s.currentDirectory().VMs {
 		list = append(list, relay.VM{ID: vm.ID, Incarnation: vm.Incarnation, Address: vm.Address})
 	}
 	return list
 }
 
-// address returns where a VM takes calls.
-func (s *stewards) address(vm string) (string, bool) {
+// peerAddress returns the address at which a VM takes calls from other VMs, or false if the VM is unknown or
+// gone.
+func (s *stewardSet) peerAddress(vm string) (string, bool) {
 	for _, m := range s.Members() {
 		if m.ID == vm && !m.Gone {
 			return m.PeerAddress, true
@@ -107,16 +111,16 @@
 }
 
 // Held implements lease.Lessor.
-func (s *stewards) Held(name string) (lease.Grant, bool) {
-	if !s.active() {
+func (s *stewardSet) Held(name string) (lease.Grant, bool) {
+	if !s.isSteward() {
 		return lease.Grant{}, false
 	}
 	return s.leases.Held(name)
 }
 
 // HolderOf implements lease.Lessor.
-func (s *stewards) HolderOf(name string) (lease.Holder, bool) {
-	if s.active() {
+func (s *stewardSet) HolderOf(name string) (lease.Holder, bool) {
+	if s.isSteward() {
 		return s.leases.HolderOf(name)
 	}
 	s.mu.RLock()
@@ -125,8 +129,8 @@
 	return holder, ok
 }
 
-// publish puts what this VM knows of the leases on the board.
-func (s *stewards) publish() {
+// publishDirectory puts this VM's directory of leases into the update log.
+func (s *stewardSet) publishDirectory() {
 	d := s.leases.Directory()
 	holders := make(map[string][]byte, len(d.Holders))
 	for name, holder := range d.Holders {
@@ -136,164 +140,166 @@
 	for _, vm := range d.VMs {
 		vms[vm.ID] = s.encode(vm)
 	}
-	s.board.Replace(relay.Leases, holders)
-	s.board.Replace(relay.Stewards, vms)
+	s.updateLog.Replace(relay.Leases, holders)
+	s.updateLog.Replace(relay.Stewards, vms)
 }
 
-func (s *stewards) encode(v any) []byte {
+func (s *stewardSet) encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		s.log.WithError(err).WithField("event", "lease_not_published").Error()
+		s.log.WithError(err).WithField("event", "lease_not_published").Error("cannot encode a lease or a steward for other VMs")
 	}
 	return data
 }
 
-// run makes this VM a steward when there are too few, until ctx ends.
-func (s *stewards) run(ctx context.Context) {
-	if !s.awaitNeed(ctx) || !s.begin() {
+// run makes this VM a steward once there are too few, and then does a steward's work until ctx ends.
+func (s *stewardSet) run(ctx context.Context) {
+	if !s.awaitVacancy(ctx) || !s.becomeSteward() {
 		return
 	}
-	s.log.WithField("event", "steward").Info()
+	s.log.WithField("event", "steward").Info("this VM has become a steward")
 	var loops sync.WaitGroup
 	loops.Go(func() { s.members.Run(ctx) })
 	loops.Go(func() { s.leases.Run(ctx) })
 	loops.Wait()
 }
 
-// awaitNeed waits until the store shows that this VM is needed as a steward. It reports false if ctx ends
-// before.
-func (s *stewards) awaitNeed(ctx context.Context) bool {
+// awaitVacancy waits until the store shows that this VM is needed as a steward. It returns false if ctx ends
+// first.
+func (s *stewardSet) awaitVacancy(ctx context.Context) bool {
 	s.awaitDirectory(ctx)
 	for ctx.Err() == nil {
 		if !s.wasSteward() {
-			clock.Sleep(ctx, s.hesitation())
+			clock.Sleep(ctx, s.candidacyWait())
 		}
 		if !s.needed() {
 			continue
 		}
-		// What was heard may be old, and others may have come first.
-		if err := s.look(ctx); err != nil {
-			s.log.WithError(err).WithField("event", "leases_not_read").Warn()
+		// The directory that this VM knows may be out of date, and other VMs may have become stewards meanwhile.
+		if err := s.readDirectory(ctx); err != nil {
+			s.log.WithError(err).WithField("event", "leases_not_read").Warn("cannot read the leases from the store")
 		} else if s.needed() {
 			return true
 		}
-		clock.Sleep(ctx, s.hesitation())
+		clock.Sleep(ctx, s.candidacyWait())
 	}
 	return false
 }
 
-// needed reports whether this VM should be a steward as far as it knows.
-func (s *stewards) needed() bool { return s.wasSteward() || s.due() }
+// needed reports whether this VM should become a steward, as far as it knows.
+func (s *stewardSet) needed() bool { return s.wasSteward() || s.hasVacancy() }
 
-// heardOf returns the number of VMs that were spoken of lately.
-func (s *stewards) heardOf() int {
+// vmCount returns the number of VMs that were reported recently.
+func (s *stewardSet) vmCount() int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return len(s.vms)
 }
 
-// look reads the leases from the store. If that fails, what is known of them stays.
-func (s *stewards) look(ctx context.Context) error {
+// readDirectory reads the directory of leases from the store. If that fails, the known directory stays in
+// place.
+func (s *stewardSet) readDirectory(ctx context.Context) error {
 	rows, err := s.table.List(ctx, "")
 	if err != nil {
-		return errors.Wrap(err, "list the leases")
+		return errors.Wrap(err, "list leases")
 	}
-	s.take(lease.ReadDirectory(rows))
+	s.setDirectory(lease.ReadDirectory(rows))
 	return nil
 }
 
-// begin makes this VM a steward, unless its process is stopping.
-func (s *stewards) begin() bool {
+// becomeSteward makes this VM a steward. It returns false if the process is stopping.
+func (s *stewardSet) becomeSteward() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running = !s.draining
-	return s.running
+	s.steward = !s.draining
+	return s.steward
 }
 
-// drain hands the leases over. A VM that is no steward has none.
-func (s *stewards) drain(ctx context.Context) error {
+// drain hands over this VM's leases. A VM that is not a steward has none.
+func (s *stewardSet) drain(ctx context.Context) error {
 	s.mu.Lock()
 	s.draining = true
-	running := s.running
+	steward := s.steward
 	s.mu.Unlock()
-	if !running {
+	if !steward {
 		return nil
 	}
 	return s.leases.Drain(ctx)
 }
 
-// hesitation returns how long this VM waits before it looks whether it is needed.
-func (s *stewards) hesitation() time.Duration {
-	return time.Duration(float64(volunteerStep+rand.N(volunteerSpread)) / max(s.self.Cores, 0.05))
+// candidacyWait returns how long this VM waits before it checks whether it is needed as a steward.
+func (s *stewardSet) candidacyWait() time.Duration {
+	return time.Duration(float64(candidacyDelay+rand.N(candidacyJitter)) / max(s.self.Cores, 0.05))
 }
 
-// awaitDirectory waits until something is known of the leases.
-func (s *stewards) awaitDirectory(ctx context.Context) {
+// awaitDirectory waits until a directory of leases is known.
+func (s *stewardSet) awaitDirectory(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.mu.RLock()
-		known := s.known
+		known := s.directoryKnown
 		s.mu.RUnlock()
 		if known {
 			return
 		}
-		clock.Sleep(ctx, directoryStep)
+		clock.Sleep(ctx, directoryPollInterval)
 	}
 }
 
-// directoryStep is the time between two looks at whether something is known of the leases.
-const directoryStep = 10 * time.Millisecond
+// directoryPollInterval is the interval between two checks whether a directory of leases is known.
+const directoryPollInterval = 10 * time.Millisecond
 
-// wasSteward reports whether an earlier process on this VM was a steward, whose session has not ended.
-func (s *stewards) wasSteward() bool {
+// wasSteward reports whether an earlier incarnation of this VM's process was a steward and its session has not
+// ended yet.
+func (s *stewardSet) wasSteward() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return slices.ContainsFunc(s.directory.VMs, func(vm lease.SessionVM) bool { return vm.ID == s.self.ID })
 }
 
-// due reports whether this VM is needed as a steward.
-func (s *stewards) due() bool {
+// hasVacancy reports whether there are fewer than stewardCount stewards that are not draining.
+func (s *stewardSet) hasVacancy() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	if !s.known {
+	if !s.directoryKnown {
 		return false
 	}
-	able := 0
+	notDraining := 0
 	for _, vm := range s.directory.VMs {
 		if !vm.Draining {
-			able++
+			notDraining++
 		}
 	}
-	return able < stewardCount
+	return notDraining < stewardCount
 }
 
-// present takes in that a VM has asked this one, or has fallen silent.
-func (s *stewards) present(vm relay.VM) {
+// recordVM records that a VM has polled this one, or that it has become unresponsive.
+func (s *stewardSet) recordVM(vm relay.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.vms[vm.ID] = seenVM{VM: vm, at: time.Now()}
+	s.vms[vm.ID] = knownVM{VM: vm, seenAt: time.Now()}
 }
 
-// heard takes in news of the VMs.
-func (s *stewards) heard(vms map[string][]byte, now time.Time) {
+// applyVMUpdates applies the reports of VMs that other VMs have sent, and discards expired VMs.
+func (s *stewardSet) applyVMUpdates(vms map[string][]byte, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, data := range vms {
 		var vm relay.VM
 		if err := json.Unmarshal(data, &vm); err != nil {
-			s.log.WithError(err).WithFields(logrus.Fields{"event": "vm_malformed", "vm": id}).Warn()
+			s.log.WithError(err).WithFields(logrus.Fields{"event": "vm_malformed", "vm": id}).Warn("cannot decode the record of a VM")
 			continue
 		}
-		s.vms[id] = seenVM{VM: vm, at: now}
+		s.vms[id] = knownVM{VM: vm, seenAt: now}
 	}
 	for id, vm := range s.vms {
-		if _, still := vms[id]; !still && now.Sub(vm.at) > forgetAfter {
+		if _, still := vms[id]; !still && now.Sub(vm.seenAt) > vmExpiry {
 			delete(s.vms, id)
 		}
 	}
 }
 
-// Members implements allowance.Fleet: all VMs that may spend tokens.
-func (s *stewards) Members() []membership.Member {
+// Members implements allowance.Fleet. It returns all VMs that may spend tokens.
+func (s *stewardSet) Members() []membership.Member {
 	byID := map[string]membership.Member{
 		s.self.ID: {ID: s.self.ID, Incarnation: s.self.Incarnation, PeerAddress: s.self.Address},
 	}
@@ -301,12 +307,12 @@
 	for id, vm := range s.vms {
 		m := membership.Member{ID: id, Incarnation: vm.Incarnation, PeerAddress: vm.Address}
 		if vm.Silent {
-			m.Silent = forgetAfter
+			m.Silent = vmExpiry
 		}
 		byID[id] = m
 	}
 	s.mu.RUnlock()
-	if s.active() {
+	if s.isSteward() {
 		for _, m := range s.members.Members() {
 			byID[m.ID] = m
 		}
--- /dev/null
+++ b/pkg/gatewayd/storereader.go
@@ -0,0 +1,187 @@
+package gatewayd
+
+import (
+	"context"
+	"encoding/json"
+	"strconv"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"github.com/mallowlink/mallowlink/pkg/clock"
+	"github.com/mallowlink/mallowlink/pkg/follow"
+	"github.com/mallowlink/mallowlink/pkg/platform"
+	"github.com/mallowlink/mallowlink/pkg/relay"
+	"github.com/mallowlink/mallowlink/pkg/roster"
+)
+
+const (
+	// operatorLongPoll is how long one call waits for a change of the operator's rows. It limits the time after
+	// which a VM notices that it has lost contact with the store.
+	operatorLongPoll = 800 * time.Millisecond
+	// endpointsPollInterval is the interval between two polls of the endpoint list. The list is polled without
+	// waiting for a change, because every heartbeat of an endpoint changes it.
+	endpointsPollInterval = 700 * time.Millisecond
+	// directoryReadInterval is the interval between two reads of the leases by a VM that is not a steward.
+	directoryReadInterval = time.Second
+	// lapseGrace is how long after an outage of the store an endpoint that is missing from the list is kept: its
+	// row may have expired during the outage, and the endpoint may report again.
+	lapseGrace = 2200 * time.Millisecond
+)
+
+// storeReader reads the platform's store for this VM and for the VMs that poll it, and publishes the rows in
+// the update log. It implements relay.Reader.
+type storeReader struct {
+	platform            Platform
+	view                *fleetView
+	updateLog           *relay.Board
+	stewards            *stewardSet
+	log                 logrus.FieldLogger
+	operator, endpoints *follow.Follower
+
+	mu sync.Mutex
+	// endpointRows are the rows of the endpoint list, guarded by mu.
+	endpointRows map[string]platform.Row
+	// endpointsPosition is the position in the table's history that endpointRows correspond to, guarded by mu.
+	endpointsPosition uint64
+	// lapsed holds the endpoints that are kept for lapseGrace after an outage of the store, guarded by mu.
+	lapsed map[string]roster.Endpoint
+}
+
+func newStoreReader(p Platform, view *fleetView, updates *relay.Board, s *stewardSet, log logrus.FieldLogger) *storeReader {
+	r := &storeReader{platform: p, view: view, updateLog: updates, stewards: s, log: log, lapsed: map[string]roster.Endpoint{}}
+	r.operator = follow.New(follow.Config{
+		Name: "operator", Feed: p.Operator, Wait: operatorLongPoll, Changed: r.onOperatorRows, Log: log,
+	})
+	r.endpoints = follow.New(follow.Config{
+		Name: "endpoints", Feed: p.Endpoints, Pause: endpointsPollInterval, Changed: r.onEndpointRows, Log: log,
+	})
+	return r
+}
+
+// Run implements relay.Reader.
+func (r *storeReader) Run(ctx context.Context) {
+	var loops sync.WaitGroup
+	loops.Go(func() { r.operator.Run(ctx) })
+	loops.Go(func() { r.endpoints.Run(ctx) })
+	loops.Go(func() { r.followDirectory(ctx) })
+	loops.Go(func() { r.propagateConfirmations(ctx) })
+	loops.Wait()
+}
+
+// Ages implements relay.Reader.
+func (r *storeReader) Ages() (operator, endpoints time.Duration) {
+	now := time.Now()
+	return clock.Elapsed(r.operator.Confirmed(), now), clock.Elapsed(r.endpoints.Confirmed(), now)
+}
+
+// confirmInterval is the interval at which the times of the store's last responses are copied to the fleet
+// view.
+const confirmInterval = 50 * time.Millisecond
+
+// propagateConfirmations reports to the fleet view up to which times the rows are current, until ctx ends.
+func (r *storeReader) propagateConfirmations(ctx context.Context) {
+	for ctx.Err() == nil {
+		r.view.confirm(r.operator.Confirmed(), r.endpoints.Confirmed())
+		clock.Sleep(ctx, confirmInterval)
+	}
+}
+
+func (r *storeReader) onOperatorRows(rows map[string]platform.Row, _ uint64) {
+	values := make(map[string][]byte, len(rows))
+	for key, row := range rows {
+		values[key] = row.Value
+	}
+	r.view.applyOperatorRows(values)
+	r.updateLog.Replace(relay.Operator, values)
+}
+
+func (r *storeReader) onEndpointRows(rows map[string]platform.Row, position uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.endpointRows = make(map[string]platform.Row, len(rows))
+	for key, row := range rows {
+		r.endpointRows[key] = row
+	}
+	r.endpointsPosition = position
+	r.publishEndpoints(time.Now())
+}
+
+// publishEndpoints publishes the endpoint list, together with the endpoints that are kept after an outage, and
+// applies it to this VM's own view. The caller holds r.mu.
+func (r *storeReader) publishEndpoints(now time.Time) {
+	list := make([]roster.Endpoint, 0, len(r.endpointRows))
+	for key, row := range r.endpointRows {
+		e, err := r.platform.DecodeEndpoint(key, row.Value)
+		if err != nil {
+			r.view.logMalformed("endpoint_row_malformed", key, row.Value, err)
+			continue
+		}
+		list = append(list, e)
+	}
+	list = append(list, r.lapsedEndpoints(list, now)...)
+	values := make(map[string][]byte, len(list))
+	for i := range list {
+		r.view.onEndpointRead(list[i])
+		list[i].Loaded = nil
+		data, err := json.Marshal(list[i])
+		if err != nil {
+			r.log.WithError(err).WithField("event", "endpoint_not_published").Error("cannot encode an endpoint; it is not passed on to other VMs")
+			continue
+		}
+		values[list[i].ID] = data
+	}
+	r.updateLog.Replace(relay.Endpoints, values)
+	// The position is published after the list. A VM that receives the list without the position takes it for
+	// older than it is, never for newer.
+	r.updateLog.Replace(relay.Positions, map[string][]byte{string(relay.Endpoints): []byte(strconv.FormatUint(r.endpointsPosition, 10))})
+	r.view.applyEndpoints(list, r.endpointsPosition, r.endpoints.Confirmed())
+}
+
+// lapsedEndpoints returns the endpoints that are missing from the list but are kept, because the store has
+// recently recovered from an outage. The caller holds r.mu.
+func (r *storeReader) lapsedEndpoints(list []roster.Endpoint, now time.Time) []roster.Endpoint {
+	until := r.endpoints.Returned().Add(lapseGrace)
+	if now.After(until) {
+		clear(r.lapsed)
+		return nil
+	}
+	onList := map[string]bool{}
+	for _, e := range list {
+		onList[e.ID] = true
+	}
+	for _, e := range r.view.roster.View().All() {
+		if !onList[e.ID] && !e.Draining && r.lapsed[e.ID].ID == "" {
+			r.lapsed[e.ID] = e
+			r.log.WithFields(logrus.Fields{"event": "endpoint_lapsed", "endpoint": e.ID, "kept_for": until.Sub(now).Round(time.Millisecond)}).Info("endpoint is missing from the list after an outage of the store; it is kept for a while")
+		}
+	}
+	var kept []roster.Endpoint
+	for id, e := range r.lapsed {
+		if !onList[id] {
+			e.Kept = true
+			kept = append(kept, e)
+		}
+	}
+	if len(kept) > 0 {
+		time.AfterFunc(until.Sub(now)+time.Millisecond, func() {
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			r.publishEndpoints(time.Now())
+		})
+	}
+	return kept
+}
+
+// followDirectory reads the leases from the store regularly while this VM is not a steward.
+func (r *storeReader) followDirectory(ctx context.Context) {
+	for ctx.Err() == nil {
+		if !r.stewards.isSteward() {
+			if err := r.stewards.readDirectory(ctx); err != nil && ctx.Err() == nil {
+				r.log.WithError(err).WithField("event", "leases_not_read").Warn("cannot read the leases from the store")
+			}
+		}
+		clock.Sleep(ctx, directoryReadInterval)
+	}
+}
--- /dev/null
+++ b/pkg/gatewayd/wiring.go
@@ -0,0 +1,474 @@
+package gatewayd
+
+import (
+	"context"
+	"crypto/tls"
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"github.com/go-faster/errors"
+	"github.com/rcrowley/go-metrics"
+	"github.com/sirupsen/logrus"
+
+	"github.com/mallowlink/mallowlink/pkg/allowance"
+	"github.com/mallowlink/mallowlink/pkg/clock"
+	"github.com/mallowlink/mallowlink/pkg/dispatch"
+	"github.com/mallowlink/mallowlink/pkg/eventlog"
+	"github.com/mallowlink/mallowlink/pkg/follow"
+	"github.com/mallowlink/mallowlink/pkg/gateway"
+	"github.com/mallowlink/mallowlink/pkg/lease"
+	"github.com/mallowlink/mallowlink/pkg/membership"
+	"github.com/mallowlink/mallowlink/pkg/memory"
+	"github.com/mallowlink/mallowlink/pkg/orders"
+	"github.com/mallowlink/mallowlink/pkg/peer"
+	"github.com/mallowlink/mallowlink/pkg/relay"
+	"github.com/mallowlink/mallowlink/pkg/retry"
+	"github.com/mallowlink/mallowlink/pkg/roster"
+	"github.com/mallowlink/mallowlink/pkg/suspect"
+	"github.com/mallowlink/mallowlink/pkg/upstream"
+)
+
+// identity identifies this process: the VM and the incarnation of the process on it.
+type identity struct {
+	vm          string
+	incarnation string
+	started     time.Time
+}
+
+func newIdentity(s Settings) (identity, error) {
+	if err := clock.Check(); err != nil {
+		return identity{}, err
+	}
+	now := time.Now()
+	return identity{vm: s.VM, incarnation: membership.NewIncarnation(now), started: now}, nil
+}
+
+// newLog returns the log, and a logger that adds the VM to each line.
+func newLog(s Settings, out io.Writer, registry metrics.Registry) (*eventlog.Log, logrus.FieldLogger, error) {
+	level := logrus.InfoLevel
+	if s.LogLevel != "" {
+		var err error
+		if level, err = logrus.ParseLevel(s.LogLevel); err != nil {
+			return nil, nil, errors.Wrap(err, "parse log level")
+		}
+	}
+	log := eventlog.New(out, eventlog.Options{Level: level, Metrics: registry})
+	return log, log.WithField("vm", s.VM), nil
+}
+
+func newPlatform(s Settings, connect Connect, registry metrics.Registry) Platform {
+	return connect(s, registry)
+}
+
+// background is the context of work that runs as long as the process.
+type background struct {
+	context.Context
+	cancel context.CancelFunc
+}
+
+func newBackground() background {
+	ctx, cancel := context.WithCancel(context.Background())
+	return background{ctx, cancel}
+}
+
+// listeners are the process's sockets. They are bound before any component starts, so that a port that is
+// already in use is reported at once.
+type listeners struct {
+	callers, readiness, peer, metrics net.Listener
+}
+
+func newListeners(s Settings) (*listeners, error) {
+	l := &listeners{}
+	binds := []struct {
+		to      *net.Listener
+		address string
+		name    string
+	}{
+		{&l.callers, s.Listen.Callers, "callers"},
+		{&l.readiness, s.Listen.Readiness, "readiness"},
+		{&l.peer, s.Listen.Peer, "peer"},
+		{&l.metrics, s.Listen.Metrics, "metrics"},
+	}
+	for _, bind := range binds {
+		listener, err := net.Listen("tcp", bind.address)
+		if err != nil {
+			l.close()
+			return nil, errors.Wrapf(err, "listen for %s", bind.name)
+		}
+		*bind.to = listener
+	}
+	return l, nil
+}
+
+func (l *listeners) close() {
+	for _, listener := range []net.Listener{l.callers, l.readiness, l.peer, l.metrics} {
+		if listener != nil {
+			_ = listener.Close()
+		}
+	}
+}
+
+// outbound holds the connection pools and the client for requests to endpoints.
+type outbound struct {
+	pools  *upstream.Pools
+	client *upstream.Client
+}
+
+// Names of the counters of connections opened to endpoints, and of endpoints that have announced in a response
+// that they are about to terminate.
+const (
+	metricDials   = "upstream.dials"
+	metricLeaving = "upstream.leaving"
+)
+
+func newUpstream(p Platform, view *fleetView, registry metrics.Registry) outbound {
+	pools := upstream.NewPools()
+	dials := metrics.GetOrRegisterCounter(metricDials, registry)
+	leaving := metrics.GetOrRegisterCounter(metricLeaving, registry)
+	return outbound{pools: pools, client: upstream.NewClient(pools, p.Dialect, upstream.Events{
+		Dialed: func() { dials.Inc(1) },
+		Leaving: func(target upstream.Target) {
+			if view.recordLeaving(roster.Incarnation{ID: target.ID, Started: target.Started}) {
+				leaving.Inc(1)
+			}
+		},
+	})}
+}
+
+// peers holds the client and the server for calls between VMs. Calls are in plain text: the platform gives the
+// process no certificates, and its network admits only the deployment's own VMs to the peer port.
+type peers struct {
+	pool   *peer.Pool
+	server *peer.Server
+}
+
+// Names of the counters of traffic between VMs.
+const (
+	metricPeerCalls  = "peer.calls"
+	metricPeerServed = "peer.served"
+)
+
+func newPeers(registry metrics.Registry, log logrus.FieldLogger) peers {
+	plain := func() *tls.Config { return nil }
+	return peers{
+		pool:   peer.NewPool(plain, peer.NewTraffic(registry, metricPeerCalls)),
+		server: peer.NewServer(plain, peer.NewTraffic(registry, metricPeerServed), log),
+	}
+}
+
+// coordination holds the components that coordinate this VM with the other ones: membership, leases and the set
+// of stewards.
+type coordination struct {
+	members        *membership.Registry
+	leases         *lease.Manager
+	stewards       *stewardSet
+	leaseListeners *leaseListeners
+	// table mirrors mallowlink's own table in the platform's store.
+	table *follow.Mirror
+}
+
+func newCoordination(s Settings, id identity, p Platform, view *fleetView, updates *relay.Board, pp peers, log logrus.FieldLogger) coordination {
+	members := membership.New(membership.Config{
+		ID:            id.vm,
+		Incarnation:   id.incarnation,
+		FailureDomain: s.FailureDomain,
+		PeerAddress:   s.Listen.peerAddress(),
+	}, nil, pp.pool, log)
+	subscribers := &leaseListeners{}
+	table := follow.NewMirror(p.Fleet)
+	stewards := &stewardSet{
+		self: relay.VM{
+			ID: id.vm, Incarnation: id.incarnation, Address: s.Listen.peerAddress(),
+			FailureDomain: s.FailureDomain, Cores: s.Limits.Cores,
+		},
+		table: table, members: members, updateLog: updates, log: log, vms: map[string]knownVM{},
+	}
+	leases := lease.NewManager(lease.Config{
+		ID:          id.vm,
+		Incarnation: id.incarnation,
+		Address:     s.Listen.peerAddress(),
+		Capacity:    s.Limits.Cores,
+		ListPeriod:  leaseListInterval,
+		Period:      leaseRenewInterval,
+		Duration:    s.Bounds.OrderTurns,
+		Listed:      stewards.publishDirectory,
+		Note:        func(name string) []byte { return subscribers.note(name) },
+		Names:       func() []string { return leaseNames(view) },
+	}, table, members, pp.pool, subscribers, log)
+	stewards.leases = leases
+	return coordination{members: members, leases: leases, stewards: stewards, leaseListeners: subscribers, table: table}
+}
+
+// leaseListInterval is the interval between two listings of the leases while nothing changes. It is shorter
+// than the duration of a lease, so that a VM can rely on what its peers report as soon as the table becomes
+// unavailable.
+const leaseListInterval = 1900 * time.Millisecond
+
+// leaseRenewInterval is the interval between two renewals of a VM's leases. Two renewals fit into the duration
+// of a lease.
+const leaseRenewInterval = 1200 * time.Millisecond
+
+// leaseNames returns the names of all leases that some VM should hold.
+func leaseNames(view *fleetView) []string {
+	names := orders.LeaseNames()
+	for _, account := range view.accountNames() {
+		names = append(names, lease.AccountPrefix+account)
+	}
+	return names
+}
+
+// leaseListeners forwards gained and lost leases to every component that acts under leases. Its fields are set
+// before the lease manager runs.
+type leaseListeners struct {
+	listeners []lease.Listener
+	// note returns the record to store in a lease with each renewal, for the lease's next holder.
+	note func(name string) []byte
+}
+
+// LeaseGained implements lease.Listener.
+func (l *leaseListeners) LeaseGained(grant lease.Grant) {
+	for _, listener := range l.listeners {
+		listener.LeaseGained(grant)
+	}
+}
+
+// LeaseLost implements lease.Listener.
+func (l *leaseListeners) LeaseLost(name string) {
+	for _, listener := range l.listeners {
+		listener.LeaseLost(name)
+	}
+}
+
+// allowances holds the two sides that enforce the client accounts' limits: home hands out tokens for the
+// accounts whose leases this VM holds, holder spends the tokens that this VM has obtained.
+type allowances struct {
+	home   *allowance.Home
+	holder *allowance.Holder
+}
+
+func newAllowances(s Settings, bg background, id identity, coord coordination, view *fleetView, pp peers, log logrus.FieldLogger) allowances {
+	policy := allowance.Policy{Window: s.Bounds.Quota.Window, Overage: s.Bounds.Quota.Overage, Slack: s.Bounds.Quota.Slack}
+	home := allowance.NewHome(bg, allowance.HomeConfig{
+		Policy: policy, Limits: view.accountLimit, Lessor: coord.stewards, Fleet: coord.stewards,
+		Caller: pp.pool, Log: log,
+	})
+	holder := allowance.NewHolder(bg, allowance.HolderConfig{
+		Self: id.vm, Incarnation: id.incarnation, Started: id.started, FirstStart: s.FirstStart, Policy: policy, Limits: view.accountLimit,
+		Home: home, Lessor: coord.stewards, Fleet: coord.stewards, Caller: pp.pool, Log: log,
+	})
+	return allowances{home: home, holder: holder}
+}
+
+func newOrders(s Settings, bg background, id identity, p Platform, coord coordination, view *fleetView, out outbound, pp peers, registry metrics.Registry, log logrus.FieldLogger) *orders.Service {
+	return orders.NewService(bg, orders.Config{
+		Self:    id.vm,
+		Leases:  coord.stewards,
+		Engines: p.Engines(out.client),
+		Roster:  view.roster,
+		Spec:    view.engineSpec,
+		Newest:  view.newestVersion,
+		Address: coord.stewards.peerAddress,
+		Caller:  pp.pool,
+		Turns:   s.Bounds.OrderTurns,
+		Started: id.started,
+		Metrics: registry,
+		Log:     log,
+	})
+}
+
+func newDispatcher(s Settings, id identity, p Platform, out outbound, coord coordination, view *fleetView, o *orders.Service, pp peers, registry metrics.Registry, log logrus.FieldLogger) *dispatch.Dispatcher {
+	return dispatch.New(dispatch.Config{
+		Self:          id.vm,
+		Incarnation:   id.incarnation,
+		FailureDomain: s.FailureDomain,
+		Roster:        view.roster,
+		Orders:        o,
+		Leases:        coord.stewards,
+		Caller:        pp.pool,
+		Engines:       p.Engines(out.client),
+		RosterAge:     view.endpointsAge,
+		Newest:        view.newestVersion,
+		Metrics:       registry,
+		Log:           log,
+	})
+}
+
+// suspects holds the components that keep requests that crash endpoints from being sent to further endpoints.
+type suspects struct {
+	detector *suspect.Watch
+	syncer   *suspect.Share
+	store    *suspect.Rows
+}
+
+func newSuspects(bg background, id identity, p Platform, coord coordination, view *fleetView, out outbound, pp peers, registry metrics.Registry, log logrus.FieldLogger) suspects {
+	table := suspect.NewTable(suspect.DirectLimits())
+	syncer := suspect.NewShare(id.vm, table, pp.pool, coord.stewards.Members, log)
+	detector := suspect.NewWatch(bg, suspect.WatchConfig{
+		Table: table, Prober: p.Probes(out.client, view.group), Listed: view.listing, Told: syncer.Wake, Metrics: registry, Log: log,
+	})
+	syncer.Follow(detector)
+	return suspects{detector: detector, syncer: syncer, store: suspect.NewRows(syncer, coord.table)}
+}
+
+// run shares crash reports with other VMs and with the store until ctx ends.
+func (s suspects) run(ctx context.Context) {
+	go s.store.Run(ctx)
+	s.syncer.Run(ctx)
+}
+
+func newGateway(s Settings, l *liveSettings, coord coordination, p Platform, view *fleetView, a allowances, d *dispatch.Dispatcher, sus suspects, out outbound, registry metrics.Registry, log logrus.FieldLogger) *gateway.Gateway {
+	return gateway.New(gateway.Config{
+		Rules:      view.rules.Load,
+		KeysValid:  func() bool { return keysValid(view, l.bounds()) },
+		RulesAge:   view.rulesAge,
+		Dialect:    p.Dialect,
+		Quota:      a.holder,
+		Dispatcher: d,
+		Upstream:   out.client,
+		Suspects:   sus.detector,
+		Memory:     newBufferBudget(s, registry),
+		Retries:    newRetryLimiter(s.Bounds.Retry, coord.stewards).window,
+		Metrics:    registry,
+		Log:        log,
+	})
+}
+
+const (
+	// bufferMemoryShare is the share of a VM's memory that buffered request and response bodies may use, and
+	// defaultBufferBytes their limit if the settings do not limit the VM's memory.
+	bufferMemoryShare  = 0.2
+	defaultBufferBytes = 64 << 20
+	// metricBufferMemory is the name of the gauge of the memory that these bodies use, in bytes.
+	metricBufferMemory = "gateway.memory_held"
+)
+
+func newBufferBudget(s Settings, registry metrics.Registry) *memory.Budget {
+	limit := int64(bufferMemoryShare * float64(s.Limits.MemoryBytes))
+	if limit == 0 {
+		limit = defaultBufferBytes
+	}
+	budget := memory.NewBudget(limit)
+	metrics.NewRegisteredFunctionalGauge(metricBufferMemory, registry, budget.Used)
+	return budget
+}
+
+// keyValidityShare is the share of Bounds.KeyWithdrawal for which a VM that receives no updates goes on
+// accepting keys. The rest allows for feeds that deliver changes late, and for requests in transit.
+const keyValidityShare = 0.7
+
+// keysValid reports whether the configuration is recent enough to accept keys by it: no key can have been
+// withdrawn for longer than the bounds allow without this VM having received the withdrawal.
+func keysValid(view *fleetView, bounds Bounds) bool {
+	return view.rulesAge().Seconds() < keyValidityShare*bounds.KeyWithdrawal.Seconds()
+}
+
+func newUpdateLog(id identity) *relay.Board { return relay.NewBoard(id.incarnation) }
+
+func newRelay(bg background, p Platform, view *fleetView, updates *relay.Board, coord coordination, pp peers, log logrus.FieldLogger) *relay.Node {
+	return relay.New(bg, relay.Config{
+		Self:     coord.stewards.self,
+		Board:    updates,
+		Reader:   newStoreReader(p, view, updates, coord.stewards, log),
+		Caller:   pp.pool,
+		Stewards: coord.stewards.list,
+		Fleet:    coord.stewards.vmCount,
+		Look:     coord.stewards.readDirectory,
+		Present:  coord.stewards.recordVM,
+		Apply:    newUpdateApplier(view, coord.stewards, log).apply,
+		Log:      log,
+	})
+}
+
+const (
+	// usableRetryShare is the share of the fleet-wide retry limit that the VMs use. The rest allows for
+	// requests that are spread unevenly over the VMs and over the window.
+	usableRetryShare = 0.8
+	// maxRetryReserve limits the retries of one VM within a window without any traffic. A VM that has just
+	// started may not know of any other VM, and would otherwise use the reserve of the whole fleet.
+	maxRetryReserve = 4
+)
+
+// retryLimiter limits the retries to each endpoint group.
+type retryLimiter struct {
+	bounds RetryBounds
+	fleet  allowance.Fleet
+
+	mu sync.Mutex
+	// The fields below are guarded by mu.
+
+	windows map[string]*retry.Window // by group
+	// maxMembers is the greatest number of VMs that this VM has known at once. VMs that are cut off from each
+	// other must not each use the retry reserve of a small fleet.
+	maxMembers int
+}
+
+func newRetryLimiter(b RetryBounds, f allowance.Fleet) *retryLimiter {
+	return &retryLimiter{bounds: b, fleet: f, windows: map[string]*retry.Window{}}
+}
+
+// reserve returns this VM's part of the retries that the fleet may make without any traffic.
+func (r *retryLimiter) reserve() float64 {
+	members := len(r.fleet.Members())
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.maxMembers = max(r.maxMembers, members)
+	return min(usableRetryShare*r.bounds.Reserve/float64(r.maxMembers), maxRetryReserve)
+}
+
+func (r *retryLimiter) window(group string) *retry.Window {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	w := r.windows[group]
+	if w == nil {
+		w = retry.NewWindow(r.bounds.Window, r.bounds.Share*usableRetryShare, r.reserve)
+		r.windows[group] = w
+	}
+	return w
+}
+
+// connectComponents sets the callbacks that cannot be passed to constructors, because the components depend on
+// each other: gained and lost leases are forwarded to every component that acts under leases, changes of the
+// fleet view to the orders and the leases, and changes of the membership to the leases.
+func connectComponents(coord coordination, view *fleetView, o *orders.Service, a allowances, d *dispatch.Dispatcher, p *process) {
+	view.onEndpointRead = d.Seen
+	coord.leaseListeners.listeners = []lease.Listener{o, a.home}
+	coord.leaseListeners.note = a.home.Note
+	coord.members.SetStatus(func() membership.Status {
+		storeDown, leaseSeen, claims := coord.leases.Status()
+		return membership.Status{
+			Draining:      p.draining.Load(),
+			BundleVersion: view.configVersion(),
+			StoreDown:     storeDown,
+			LeaseSeen:     leaseSeen,
+			Claims:        claims,
+		}
+	})
+	coord.members.OnChange(coord.leases.Wake)
+	view.onChange = func() {
+		o.Refresh()
+		coord.leases.Wake()
+	}
+}
+
+// registerServices registers this VM's net/rpc services for calls from other VMs.
+func registerServices(pp peers, coord coordination, a allowances, o *orders.Service, n *relay.Node, sus suspects) error {
+	services := []struct {
+		name     string
+		receiver any
+	}{
+		{membership.ServiceName, coord.members.Service()},
+		{lease.ServiceName, coord.leases.Service()},
+		{allowance.ServiceName, allowance.NewService(a.home, a.holder)},
+		{orders.ServiceName, o},
+		{relay.ServiceName, n.Service()},
+		{suspect.ServiceName, sus.syncer.Service()},
+	}
+	for _, service := range services {
+		if err := pp.server.Register(service.name, service.receiver); err != nil {
+			return err
+		}
+	}
+	return nil
+}
