--- a/pkg/peer/client.go
+++ b/pkg/peer/client.go
@@ -15,47 +15,48 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// DialTimeout bounds connecting to a peer, with the TLS handshake. A machine that is gone does not answer,
-// and one that is back needs a new attempt.
+// DialTimeout bounds connecting to a peer, including the TLS handshake. A VM that is gone does not respond
+// to a connection attempt, and one that has come back is reached only by a new attempt.
 const DialTimeout = 500 * time.Millisecond
 
 // TLSSource returns the TLS configuration for the next connection, so that renewed certificates
-// are used without a restart. A nil configuration means plain TCP, which settings allow on
-// loopback only.
+// are used without a restart. A nil configuration means plain TCP, which the settings allow on
+// loopback addresses only.
 type TLSSource func() *tls.Config
 
-// Pool is a Caller that keeps one connection per address. It is safe for concurrent use.
+// Pool is a Caller that keeps one open connection per address. It is safe for concurrent use.
 type Pool struct {
 	tls     TLSSource
 	traffic Traffic
 
 	mu      sync.Mutex
-	clients map[string]*client // by address
-	closed  bool
+	clients map[string]*rpcClient // by address, guarded by mu
+	closed  bool                  // guarded by mu
 }
 
-// client is the calls over one connection.
-type client struct {
+// rpcClient makes calls over one connection.
+type rpcClient struct {
 	*rpc.Client
 	conn *countingConn
 }
 
-// minSilence is the least time without an answer after which a connection counts as dead.
-const minSilence = 50 * time.Millisecond
+// minUnresponsive is the shortest time without any bytes from the peer after which a connection may count as
+// dead.
+const minUnresponsive = 50 * time.Millisecond
 
-// silent reports whether nothing has arrived on the connection since a call was sent on it. Connections
-// can fall silent for good while new ones work.
-func (c *client) silent(sent, now time.Time) bool {
-	return now.Sub(sent) >= minSilence && c.conn.lastRead.Load() < sent.UnixNano()
+// unresponsive reports whether nothing has arrived on the connection since a call was sent on it, for at least
+// minUnresponsive. A connection can stop delivering data for good while new connections to the same peer work.
+func (c *rpcClient) unresponsive(sent, now time.Time) bool {
+	return now.Sub(sent) >= minUnresponsive && c.conn.lastRead.Load() < sent.UnixNano()
 }
 
-// Traffic counts the bytes that pass through connections.
+// Traffic counts the bytes received and sent over connections.
 type Traffic struct {
 	In  metrics.Counter
 	Out metrics.Counter
 }
 
-// NewTraffic registers the counters name.bytes_in and name.bytes_out.
+// NewTraffic returns a Traffic with the counters name.bytes_in and name.bytes_out, registered in registry.
 func NewTraffic(registry metrics.Registry, name string) Traffic {
 	return Traffic{
 		In:  metrics.GetOrRegisterCounter(name+".bytes_in", registry),
@@ -63,16 +64,17 @@
 	}
 }
 
-// NewPool returns a pool that dials with the given TLS configuration.
+// NewPool returns a Pool that dials with the TLS configurations of source and counts its bytes in traffic.
 func NewPool(source TLSSource, traffic Traffic) *Pool {
-	return &Pool{tls: source, traffic: traffic, clients: map[string]*client{}}
+	return &Pool{tls: source, traffic: traffic, clients: map[string]*rpcClient{}}
 }
 
-// Call implements Caller. A call on a cached connection that had already ended is sent once more
-// on a new one, because it cannot have arrived.
+// Call implements Caller. A call on a cached connection that had already closed is retried once on a new
+// connection: the peer cannot have received it. After a failed call the connection is dropped, unless only ctx
+// has ended and the connection is not unresponsive.
 func (p *Pool) Call(ctx context.Context, address, method string, args, reply any) error {
 	for attempt := 0; ; attempt++ {
-		client, err := p.client(ctx, address)
+		client, err := p.clientFor(ctx, address)
 		if err != nil {
 			return err
 		}
@@ -84,7 +86,7 @@
 		if isMethodError(err) {
 			return err
 		}
-		if ctx.Err() == nil || client.silent(sent, time.Now()) {
+		if ctx.Err() == nil || client.unresponsive(sent, time.Now()) {
 			p.drop(address, client)
 		}
 		if errors.Is(err, rpc.ErrShutdown) && attempt == 0 {
@@ -94,20 +96,21 @@
 	}
 }
 
+// isMethodError reports whether err was returned by the called method itself, not by the transport.
 func isMethodError(err error) bool {
 	var remote rpc.ServerError
 	return errors.As(err, &remote)
 }
 
-// callOn makes one call. The reply of a call that has been given up may still arrive, so it is decoded
-// into a value of its own, which is copied to reply only if the call ends in time.
-func (p *Pool) callOn(ctx context.Context, client *client, method string, args, reply any) error {
-	arrived := reflect.New(reflect.TypeOf(reply).Elem())
-	call := client.Go(method, args, arrived.Interface(), make(chan *rpc.Call, 1))
+// callOn makes one call over client. The reply may still arrive after ctx has ended, so it is decoded into a
+// separate value, which is copied to reply only if the call completes in time.
+func (p *Pool) callOn(ctx context.Context, client *rpcClient, method string, args, reply any) error {
+	decoded := reflect.New(reflect.TypeOf(reply).Elem())
+	call := client.Go(method, args, decoded.Interface(), make(chan *rpc.Call, 1))
 	select {
 	case done := <-call.Done:
 		if done.Error == nil {
-			reflect.ValueOf(reply).Elem().Set(arrived.Elem())
+			reflect.ValueOf(reply).Elem().Set(decoded.Elem())
 		}
 		return done.Error
 	case <-ctx.Done():
@@ -115,26 +118,28 @@
 	}
 }
 
-func (p *Pool) client(ctx context.Context, address string) (*client, error) {
+// clientFor returns the cached client for the address, or dials a new one.
+func (p *Pool) clientFor(ctx context.Context, address string) (*rpcClient, error) {
 	p.mu.Lock()
-	known, ok := p.clients[address]
+	cached, ok := p.clients[address]
 	closed := p.closed
 	p.mu.Unlock()
 	if closed {
 		return nil, errors.Wrap(ErrUnreachable, "pool is closed")
 	}
 	if ok {
-		return known, nil
+		return cached, nil
 	}
 	conn, counting, err := p.dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return p.keep(address, &client{Client: rpc.NewClient(conn), conn: counting}), nil
+	return p.addOrReuse(address, &rpcClient{Client: rpc.NewClient(conn), conn: counting}), nil
 }
 
-// keep stores client unless another call has connected meanwhile, and returns the one to use.
-func (p *Pool) keep(address string, client *client) *client {
+// addOrReuse caches client and returns it. If a concurrent call has already cached a client for the address,
+// client is closed and the cached one returned.
+func (p *Pool) addOrReuse(address string, client *rpcClient) *rpcClient {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	existing, ok := p.clients[address]
@@ -146,18 +151,19 @@
 	return client
 }
 
+// dial connects to the address. The countingConn is the TCP connection below TLS.
 func (p *Pool) dial(ctx context.Context, address string) (net.Conn, *countingConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, DialTimeout)
 	defer cancel()
 	dialer := &net.Dialer{}
-	plain, err := dialer.DialContext(ctx, "tcp", address)
+	tcpConn, err := dialer.DialContext(ctx, "tcp", address)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return nil, nil, errors.Wrapf(ErrRefused, "dial %s", address)
 	}
 	if err != nil {
 		return nil, nil, errors.Wrapf(ErrUnreachable, "dial %s: %v", address, err)
 	}
-	conn := &countingConn{Conn: plain, traffic: p.traffic}
+	conn := &countingConn{Conn: tcpConn, traffic: p.traffic}
 	config := p.tls()
 	if config == nil {
 		return conn, conn, nil
@@ -170,7 +176,8 @@
 	return secured, conn, nil
 }
 
-func (p *Pool) drop(address string, client *client) {
+// drop closes client and removes it from the pool.
+func (p *Pool) drop(address string, client *rpcClient) {
 	p.mu.Lock()
 	if p.clients[address] == client {
 		delete(p.clients, address)
@@ -179,7 +186,7 @@
 	_ = client.Close()
 }
 
-// Close ends every connection. Later calls fail with ErrUnreachable.
+// Close closes every connection. Later calls fail with ErrUnreachable.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,14 +197,15 @@
 	}
 }
 
+// countingConn counts the bytes read and written, and records when bytes last arrived.
 type countingConn struct {
 	net.Conn
 	traffic Traffic
-	// lastRead is when bytes arrived last, in Unix nanoseconds.
+	// lastRead is when bytes last arrived, in Unix nanoseconds.
 	lastRead atomic.Int64
 }
 
-// Read counts the bytes read.
+// Read reads from the connection and counts the bytes read.
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.traffic.In.Inc(int64(n))
@@ -207,7 +215,7 @@
 	return n, err
 }
 
-// Write counts the bytes written.
+// Write writes to the connection and counts the bytes written.
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.traffic.Out.Inc(int64(n))
--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -1,4 +1,5 @@
-// Package peer carries calls between VMs by net/rpc over mutual TLS.
+// Package peer is the RPC transport between VMs: net/rpc over mutual TLS, with a pooling client (Pool)
+// and a Server.
 package peer
 
 import (
@@ -9,13 +10,13 @@
 
 // Errors that a Caller returns, possibly wrapped. Any other error comes from the called method.
 var (
-	// ErrRefused says that nothing listens at the address: the process there is gone.
+	// ErrRefused means that nothing listens at the address: the process there has exited.
 	ErrRefused = errors.New("peer: connection refused")
-	// ErrUnreachable says that the call failed or timed out: it may have had its effect.
+	// ErrUnreachable means that the call failed or timed out. The peer may still have executed it.
 	ErrUnreachable = errors.New("peer: unreachable")
 )
 
-// Caller calls methods of other VMs.
+// Caller calls RPC methods of other VMs.
 type Caller interface {
 	// Call invokes method (in net/rpc's form, "Service.Method") at the peer address.
 	Call(ctx context.Context, address, method string, args, reply any) error
--- a/pkg/peer/server.go
+++ b/pkg/peer/server.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// MaxConnections bounds the connections that the server keeps at once.
+	// MaxConnections is the maximum number of open connections; further ones are closed at once.
 	MaxConnections = 2048
 	// handshakeTimeout bounds the TLS handshake of a new connection.
 	handshakeTimeout = 5 * time.Second
 )
 
-// Server takes calls from other VMs. Only peers that pass the TLS handshake reach a method.
+// Server serves RPC calls from other VMs. With TLS, only peers that complete the handshake can call a method.
 type Server struct {
 	rpc     *rpc.Server
 	tls     TLSSource
@@ -27,12 +27,12 @@
 	log     logrus.FieldLogger
 
 	mu     sync.Mutex
-	conns  map[net.Conn]struct{}
-	closed bool
-	wait   sync.WaitGroup
+	conns  map[net.Conn]struct{} // guarded by mu
+	closed bool                  // guarded by mu
+	wg     sync.WaitGroup        // one per connection
 }
 
-// NewServer returns a server without services.
+// NewServer returns a Server without services; Register adds them.
 func NewServer(source TLSSource, traffic Traffic, log logrus.FieldLogger) *Server {
 	return &Server{
 		rpc:     rpc.NewServer(),
@@ -43,15 +43,15 @@
 	}
 }
 
-// Register adds the exported methods of receiver under the service name.
+// Register makes the exported methods of receiver callable under the service name.
 func (s *Server) Register(name string, receiver any) error {
 	if err := s.rpc.RegisterName(name, receiver); err != nil {
-		return errors.Wrapf(err, "register %s", name)
+		return errors.Wrapf(err, "register RPC service %s", name)
 	}
 	return nil
 }
 
-// Serve takes connections until the listener closes.
+// Serve accepts and serves connections until the listener is closed, and then returns nil.
 func (s *Server) Serve(listener net.Listener) error {
 	for {
 		conn, err := listener.Accept()
@@ -59,7 +59,7 @@
 			return nil
 		}
 		if err != nil {
-			return errors.Wrap(err, "accept peer")
+			return errors.Wrap(err, "accept peer connection")
 		}
 		if !s.admit(conn) {
 			_ = conn.Close()
@@ -69,6 +69,7 @@
 	}
 }
 
+// admit registers the connection. It returns false if the server is closed or has MaxConnections open.
 func (s *Server) admit(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,25 +77,26 @@
 		return false
 	}
 	s.conns[conn] = struct{}{}
-	s.wait.Add(1)
+	s.wg.Add(1)
 	return true
 }
 
 func (s *Server) serve(conn net.Conn) {
-	defer s.wait.Done()
-	defer s.forget(conn)
+	defer s.wg.Done()
+	defer s.closeConn(conn)
 	secured, err := s.handshake(&countingConn{Conn: conn, traffic: s.traffic})
 	if err != nil {
 		s.log.WithFields(logrus.Fields{
 			"event":  "peer_refused",
 			"remote": conn.RemoteAddr().String(),
 			"error":  err.Error(),
-		}).Warn("")
+		}).Warn("TLS handshake with peer failed; connection closed")
 		return
 	}
 	s.rpc.ServeConn(secured)
 }
 
+// handshake returns the connection secured by TLS, or conn itself if TLS is not configured.
 func (s *Server) handshake(conn net.Conn) (net.Conn, error) {
 	config := s.tls()
 	if config == nil {
@@ -106,14 +108,15 @@
 	return secured, secured.HandshakeContext(ctx)
 }
 
-func (s *Server) forget(conn net.Conn) {
+// closeConn closes the connection and removes it from the open ones.
+func (s *Server) closeConn(conn net.Conn) {
 	_ = conn.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
 }
 
-// Close ends every connection and waits for their calls.
+// Close closes every connection and waits for the calls on them to return. Later connections are rejected.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -121,5 +124,5 @@
 		_ = conn.Close()
 	}
 	s.mu.Unlock()
-	s.wait.Wait()
+	s.wg.Wait()
 }
