--- a/pkg/httponce/client.go
+++ b/pkg/httponce/client.go
@@ -1,5 +1,6 @@
-// Package httponce sends HTTP/1.1 requests at most once and tells whether any part of a failed
-// request was sent. It follows no redirects, retries nothing and undoes no compression.
+// Package httponce sends HTTP/1.1 requests at most once and reports whether any part of a failed
+// request may have been sent. It does not follow redirects, does not retry a request of which any part may
+// have been sent, and does not decompress responses.
 package httponce
 
 import (
@@ -14,7 +15,7 @@
 	"time"
 )
 
-// Defaults of Options.
+// Defaults of Options, and the fixed limit on the size of a response's header.
 const (
 	DefaultDialTimeout    = 2 * time.Second
 	DefaultIdleTimeout    = 15 * time.Second
@@ -22,28 +23,31 @@
 	maxResponseHeader     = 64 << 10 // bytes
 )
 
-// Options configure a Client. Zero values mean the defaults.
+// Options configure a Client. Zero values select the defaults.
 type Options struct {
+	// DialTimeout bounds connecting, and separately the TLS handshake.
 	DialTimeout time.Duration
-	// IdleTimeout is how long an unused connection is kept. It must be shorter than the server's.
-	IdleTimeout    time.Duration
+	// IdleTimeout is how long an idle connection is kept. It must be shorter than the server's idle timeout.
+	IdleTimeout time.Duration
+	// MaxIdlePerHost is the maximum number of idle connections kept for one host.
 	MaxIdlePerHost int
-	// MaxPerHost bounds the connections to one host; 0 means no bound.
+	// MaxPerHost is the maximum number of connections to one host; 0 means no limit.
 	MaxPerHost int
-	// FreshConnections gives every request a connection of its own, so that none meets a connection
-	// that the server is about to close.
+	// FreshConnections opens a new connection for every request, so that no request is sent on an idle
+	// connection that the server is about to close.
 	FreshConnections bool
 	TLS              *tls.Config
 }
 
-// Error says that a request failed before the head of its answer arrived.
+// Error is the failure of a request before the head of its response (status line and header) arrived.
 type Error struct {
-	// Sent is false only if it is certain that the server has seen no part of the request.
+	// Sent reports whether any part of the request may have reached the server. It is false only if it is
+	// certain that none did.
 	Sent bool
 	Err  error
 }
 
-// Error describes the failure.
+// Error implements error.
 func (e *Error) Error() string {
 	if e.Sent {
 		return fmt.Sprintf("no answer: %v", e.Err)
@@ -51,7 +55,7 @@
 	return fmt.Sprintf("not sent: %v", e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *Error) Unwrap() error { return e.Err }
 
 // Client sends requests over a pool of connections. It is safe for concurrent use.
@@ -70,7 +74,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &countedConn{Conn: conn}, nil
+			return &writeCountingConn{Conn: conn}, nil
 		},
 		Protocols:              protocols,
 		TLSClientConfig:        opts.TLS,
@@ -84,29 +88,30 @@
 	}}
 }
 
-// Do sends the request and returns once the head of the answer has arrived. It fails with *Error. A
-// request that a connection failed to take any part of is given another connection once, provided
-// that GetBody is set if it has a body. The caller closes the body of the response.
+// Do sends the request and returns once the head of the response has arrived. Its errors are of type *Error.
+// If a connection failed before any part of the request was written, Do sends the request once more on another
+// connection, provided that a request with a body has GetBody set. The body of the response must be closed by
+// whoever calls Do.
 func (c *Client) Do(req *http.Request) (*http.Response, error) {
-	resp, connected, err := c.try(req)
+	resp, connected, err := c.sendOnce(req)
 	if err == nil || err.Sent || !connected || req.Context().Err() != nil {
 		return resp, asError(err)
 	}
-	again := req.Clone(req.Context())
+	retry := req.Clone(req.Context())
 	if req.GetBody != nil {
 		body, bodyErr := req.GetBody()
 		if bodyErr != nil {
 			return nil, err
 		}
-		again.Body = body
+		retry.Body = body
 	} else if req.Body != nil && req.Body != http.NoBody {
 		return nil, err
 	}
-	resp, _, err = c.try(again)
+	resp, _, err = c.sendOnce(retry)
 	return resp, asError(err)
 }
 
-// asError keeps a nil *Error from becoming an error that is not nil.
+// asError converts err to an error that is nil if err is nil: a nil *Error in an error interface is not.
 func asError(err *Error) error {
 	if err == nil {
 		return nil
@@ -114,12 +119,12 @@
 	return err
 }
 
-// try sends the request on one connection. connected says that there was one.
-func (c *Client) try(req *http.Request) (resp *http.Response, connected bool, failed *Error) {
-	var tr trace
+// sendOnce makes one attempt to send the request. connected reports whether it got a connection.
+func (c *Client) sendOnce(req *http.Request) (resp *http.Response, connected bool, failed *Error) {
+	var tr connTrace
 	ctx := httptrace.WithClientTrace(req.Context(), &httptrace.ClientTrace{GotConn: tr.gotConn})
 	req = req.Clone(ctx)
-	forbidReplay(req)
+	preventReplay(req)
 	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
 		sent := tr.seal()
@@ -128,14 +133,16 @@
 	return resp, true, nil
 }
 
-// CloseIdle closes the connections that are not in use.
+// CloseIdle closes the idle connections.
 func (c *Client) CloseIdle() { c.transport.CloseIdleConnections() }
 
-// forbidReplay keeps net/http from sending the request a second time after the first may have
-// reached the server. net/http replays a request on a reused connection if its body can be had again
-// and its method is safe or it has an Idempotency-Key header. It looks that header up by its
-// canonical name only, so the name is sent in lower case, which means the same.
-func forbidReplay(req *http.Request) {
+// preventReplay changes the request so that net/http does not send it a second time after the first attempt may
+// have reached the server. net/http replays a request that failed on a reused connection if its body is empty
+// or can be obtained again (GetBody), and its method is safe or it has an Idempotency-Key or X-Idempotency-Key
+// header. net/http looks these headers up by their canonical names only, so they are sent in lower case, which
+// HTTP treats as the same name. A request with a safe method and no body gets a body that net/http cannot
+// recognise as empty.
+func preventReplay(req *http.Request) {
 	req.GetBody = nil
 	for name, lower := range map[string]string{
 		"Idempotency-Key":   "idempotency-key",
@@ -154,42 +161,45 @@
 	}
 }
 
-// emptyReader is an empty body that net/http does not know to be empty.
+// emptyReader is an empty body that net/http cannot recognise as empty, unlike http.NoBody.
 type emptyReader struct{}
 
 // Read returns io.EOF.
 func (emptyReader) Read([]byte) (int, error) { return 0, io.EOF }
 
-// trace remembers the connections that a request was given.
-type trace struct {
+// connTrace records the connections on which net/http has tried to send a request.
+type connTrace struct {
 	mu    sync.Mutex
-	conns []tracedConn
+	conns []tracedConn // guarded by mu
 }
 
+// tracedConn is a connection on which net/http has tried to send the request.
 type tracedConn struct {
-	// conn is nil if the connection is of an unknown kind.
-	conn   *countedConn
+	// conn is nil if the connection is of an unknown type, whose writes are not counted.
+	conn *writeCountingConn
+	// writes is the number of writes that had been started when the request got the connection.
 	writes uint64
 }
 
-func (t *trace) gotConn(info httptrace.GotConnInfo) {
+// gotConn records the connection. It is the GotConn hook of httptrace.ClientTrace.
+func (t *connTrace) gotConn(info httptrace.GotConnInfo) {
 	conn := info.Conn
 	if wrapped, ok := conn.(*tls.Conn); ok {
 		conn = wrapped.NetConn()
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	counted, ok := conn.(*countedConn)
+	counted, ok := conn.(*writeCountingConn)
 	if !ok {
 		t.conns = append(t.conns, tracedConn{})
 		return
 	}
-	t.conns = append(t.conns, tracedConn{conn: counted, writes: counted.started()})
+	t.conns = append(t.conns, tracedConn{conn: counted, writes: counted.writesStarted()})
 }
 
-// seal keeps the failed request from being written from now on, and reports whether any part of it
-// may have been.
-func (t *trace) seal() bool {
+// seal seals the connections of a failed request, so that no part of it can be written from now on, and reports
+// whether any part of it may have been written before.
+func (t *connTrace) seal() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sent := false
@@ -201,16 +211,16 @@
 	return sent
 }
 
-// countedConn counts the writes that were started on a connection.
-type countedConn struct {
+// writeCountingConn counts the writes that were started on a connection. Sealing it prevents further writes.
+type writeCountingConn struct {
 	net.Conn
 	mu     sync.Mutex
-	writes uint64
-	sealed bool
+	writes uint64 // guarded by mu
+	sealed bool   // guarded by mu
 }
 
-// Write writes to the connection unless it is sealed.
-func (c *countedConn) Write(p []byte) (int, error) {
+// Write writes to the connection. It fails with net.ErrClosed if the connection is sealed.
+func (c *writeCountingConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
 		c.mu.Unlock()
@@ -221,14 +231,16 @@
 	return c.Conn.Write(p)
 }
 
-func (c *countedConn) started() uint64 {
+// writesStarted returns the number of writes that were started.
+func (c *writeCountingConn) writesStarted() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal closes the connection, so that no write starts afterwards, and returns the number of writes.
-func (c *countedConn) seal() uint64 {
+// seal closes the connection, so that no write starts afterwards, and returns the number of writes that were
+// started before.
+func (c *writeCountingConn) seal() uint64 {
 	c.mu.Lock()
 	c.sealed = true
 	writes := c.writes
@@ -237,10 +249,11 @@
 	return writes
 }
 
-func orDefault[T comparable](value, otherwise T) T {
+// orDefault returns value, or fallback if value is the zero value.
+func orDefault[T comparable](value, fallback T) T {
 	var zero T
 	if value == zero {
-		return otherwise
+		return fallback
 	}
 	return value
 }
--- a/pkg/httponce/client_test.go
+++ b/pkg/httponce/client_test.go
@@ -14,27 +14,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// staleServer answers the first request of each connection and cuts the connection on the second. It
-// counts the requests that it has read.
+// staleServer starts a server that responds to the first request of each connection, and closes the connection
+// without a response after reading the second. It returns the server's URL and the number of requests read.
 func staleServer(t *testing.T) (string, *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
-	seen := new(atomic.Int64)
+	received := new(atomic.Int64)
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go serveStale(conn, seen)
+			go serveStale(conn, received)
 		}
 	}()
-	return "http://" + listener.Addr().String(), seen
+	return "http://" + listener.Addr().String(), received
 }
 
-func serveStale(conn net.Conn, seen *atomic.Int64) {
+// serveStale serves one connection of staleServer.
+func serveStale(conn net.Conn, received *atomic.Int64) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for i := range 2 {
@@ -43,7 +44,7 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
-		seen.Add(1)
+		received.Add(1)
 		if i == 0 {
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
@@ -57,7 +58,8 @@
 	return req
 }
 
-// A request that is cut on a reused connection is what net/http replays by itself.
+// By itself net/http replays a request if the reused connection on which it was sent is closed without a response.
+// The server must read each request once only: one to open the connection, and one that fails.
 func TestNeverReplays(t *testing.T) {
 	cases := []struct{ method, body, header string }{
 		{http.MethodGet, "", ""},
@@ -70,7 +72,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.method+" "+c.body+" "+c.header, func(t *testing.T) {
-			base, seen := staleServer(t)
+			base, received := staleServer(t)
 			client := New(Options{})
 			resp, err := client.Do(newRequest(t, http.MethodGet, base, ""))
 			require.NoError(t, err)
@@ -85,7 +87,7 @@
 			var failed *Error
 			require.ErrorAs(t, err, &failed)
 			require.True(t, failed.Sent)
-			require.EqualValues(t, 2, seen.Load())
+			require.EqualValues(t, 2, received.Load())
 		})
 	}
 }
@@ -118,7 +120,7 @@
 	require.Zero(t, req.ContentLength)
 }
 
-func TestRefusedIsNotSent(t *testing.T) {
+func TestRefusedConnectionReportsNotSent(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
 	_, err := New(Options{}).Do(newRequest(t, http.MethodPost, server.URL, "{}"))
@@ -127,7 +129,8 @@
 	require.False(t, failed.Sent)
 }
 
-// A connection that fails before the first byte is replaced, also for a request that must run once.
+// If a connection fails before the first byte of the request is written, the request is sent on another
+// connection, even a POST request that must not run twice.
 func TestUnsentRequestGetsAnotherConnection(t *testing.T) {
 	bodies := make(chan string, 2)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -141,7 +144,7 @@
 	client.transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if dials++; dials == 1 && err == nil {
-			conn.(*countedConn).seal()
+			conn.(*writeCountingConn).seal()
 		}
 		return conn, err
 	}
@@ -153,7 +156,7 @@
 	require.Equal(t, 2, dials)
 }
 
-func TestCancelledAfterSendingIsSent(t *testing.T) {
+func TestCancelAfterSendReportsSent(t *testing.T) {
 	arrived := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		close(arrived)
@@ -172,7 +175,7 @@
 	require.ErrorIs(t, err, context.Canceled)
 }
 
-func TestRedirectIsAnAnswer(t *testing.T) {
+func TestRedirectIsReturnedAsResponse(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		http.Redirect(w, r, "/again", http.StatusTemporaryRedirect)
 	}))
@@ -183,12 +186,12 @@
 	require.Equal(t, http.StatusTemporaryRedirect, resp.StatusCode)
 }
 
-func TestSealedConnectionTakesNoWrites(t *testing.T) {
+func TestSealedConnectionRejectsWrites(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	conn := &countedConn{Conn: near}
+	conn := &writeCountingConn{Conn: near}
 	require.Zero(t, conn.seal())
 	_, err := conn.Write([]byte("late"))
 	require.ErrorIs(t, err, net.ErrClosed)
-	require.Zero(t, conn.started())
+	require.Zero(t, conn.writesStarted())
 }
