--- a/pkg/clock/suspended_linux.go
+++ b/pkg/clock/suspended_linux.go
@@ -7,7 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Check reports whether the clocks that tell a suspension can be read. Leases cannot be held without them.
+// Check returns an error unless the boot-time and the monotonic clock, whose difference reveals suspensions, can
+// be read. A VM must not hold leases without them.
 func Check() error {
 	for _, id := range []int32{unix.CLOCK_BOOTTIME, unix.CLOCK_MONOTONIC} {
 		if _, err := read(id); err != nil {
@@ -17,19 +18,20 @@
 	return nil
 }
 
-// suspended returns the time that the VM was suspended for since it started. The boot-time clock is
-// read first: if the thread is held up between the two, the result is too short by that, and the next
-// one has it.
-func suspended() time.Duration {
+// totalSuspended returns the time for which the VM was suspended since it booted. The boot-time clock is read
+// first: if the thread is delayed between the two readings, the result is too short by the delay, and a later
+// call makes up for it.
+func totalSuspended() time.Duration {
 	boot, bootErr := read(unix.CLOCK_BOOTTIME)
-	steady, steadyErr := read(unix.CLOCK_MONOTONIC)
-	if bootErr != nil || steadyErr != nil {
-		// A clock that the kernel does not have; Check keeps such a process from starting.
+	monotonic, monotonicErr := read(unix.CLOCK_MONOTONIC)
+	if bootErr != nil || monotonicErr != nil {
+		// The kernel lacks one of the clocks. Check prevents the process from starting in this case.
 		return 0
 	}
-	return boot - steady
+	return boot - monotonic
 }
 
+// read returns the reading of the kernel clock with the ID.
 func read(id int32) (time.Duration, error) {
 	var at unix.Timespec
 	if err := unix.ClockGettime(id, &at); err != nil {
--- a/pkg/clock/suspensions.go
+++ b/pkg/clock/suspensions.go
@@ -6,73 +6,77 @@
 )
 
 const (
-	// minSuspension is the shortest step of the boot-time clock against the monotonic one that is
-	// taken for a suspension. Reading the two clocks one after the other can take a few milliseconds
-	// on a busy VM.
+	// minSuspension is the smallest advance of the boot-time clock over the monotonic clock that counts as
+	// a suspension. Smaller ones may come from reading the two clocks one after the other, which can take a
+	// few milliseconds on a busy VM.
 	minSuspension = 10 * time.Millisecond
-	// maxSuspensions bounds the suspensions that are remembered one by one. Older ones count in full
-	// for every base before the oldest that is remembered.
+	// maxSuspensions is the maximum number of suspensions that are recorded one by one. Older ones are
+	// counted in full for every base before the oldest recorded one was noticed.
 	maxSuspensions = 64
 )
 
-// host holds the suspensions of the VM that this process runs on.
-var host = newSuspensions(suspended)
+// hostSuspensions holds the suspensions of the VM that this process runs on.
+var hostSuspensions = newSuspensions(totalSuspended)
 
-// suspension is a suspension of the VM.
+// suspension is one recorded suspension of the VM.
 type suspension struct {
-	// seen is when the process first noticed it: no earlier than its end.
-	seen time.Time
-	// before is what all earlier suspensions add up to.
-	before time.Duration
+	// noticedAt is when the process noticed the suspension: no earlier than its end.
+	noticedAt time.Time
+	// priorTotal is the total duration of all earlier suspensions.
+	priorTotal time.Duration
 }
 
-// suspensions is a record of when the VM was suspended. Its methods are safe for concurrent use.
+// suspensions records when and for how long the VM was suspended. Its methods are safe for concurrent use,
+// except poll.
 type suspensions struct {
-	total  func() time.Duration
-	mu     sync.Mutex
-	known  time.Duration
-	record []suspension
+	// total returns the time for which the VM was suspended since it booted.
+	total func() time.Duration
+	mu    sync.Mutex
+	// recordedTotal is the result of total up to which suspensions have been recorded. It is guarded by mu.
+	recordedTotal time.Duration
+	// recent holds the last maxSuspensions suspensions, oldest first. It is guarded by mu.
+	recent []suspension
 }
 
-// newSuspensions returns a record that starts now. Total returns the time that the VM was suspended
-// for since it started.
+// newSuspensions returns an empty record: suspensions before the call are not counted. The function total
+// returns the time for which the VM was suspended since it booted.
 func newSuspensions(total func() time.Duration) *suspensions {
-	return &suspensions{total: total, known: total()}
+	return &suspensions{total: total, recordedTotal: total()}
 }
 
-// now returns a time with no unnoticed suspension before it.
+// now returns the time of clock, after recording any suspension before it.
 func (s *suspensions) now(clock func() time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.look(clock)
+	s.poll(clock)
 	return clock()
 }
 
-// since returns how long the VM was suspended since base, or longer: a suspension that was noticed
-// after base counts.
-func (s *suspensions) since(base time.Time, clock func() time.Time) time.Duration {
+// suspendedSince returns how long the VM was suspended since base. The result may be too long: a suspension that
+// was noticed after base is counted in full, even if it ended before base.
+func (s *suspensions) suspendedSince(base time.Time, clock func() time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.look(clock)
-	for i := range s.record {
-		if s.record[i].seen.After(base) {
-			return s.known - s.record[i].before
+	s.poll(clock)
+	for i := range s.recent {
+		if s.recent[i].noticedAt.After(base) {
+			return s.recordedTotal - s.recent[i].priorTotal
 		}
 	}
 	return 0
 }
 
-// look takes note of a suspension since the last look. s.mu is held.
-func (s *suspensions) look(clock func() time.Time) {
+// poll records a suspension since the last poll, if there was one. The caller must hold s.mu.
+func (s *suspensions) poll(clock func() time.Time) {
 	total := s.total()
-	if total-s.known < minSuspension {
+	if total-s.recordedTotal < minSuspension {
 		return
 	}
-	s.record = append(s.record, suspension{seen: clock(), before: s.known})
-	s.known = total
-	if extra := len(s.record) - maxSuspensions; extra > 0 {
-		// The oldest that stays counts for those that go.
-		s.record[extra].before = s.record[0].before
-		s.record = s.record[extra:]
+	s.recent = append(s.recent, suspension{noticedAt: clock(), priorTotal: s.recordedTotal})
+	s.recordedTotal = total
+	if extra := len(s.recent) - maxSuspensions; extra > 0 {
+		// The oldest entry that is kept takes over the durations of the discarded ones.
+		s.recent[extra].priorTotal = s.recent[0].priorTotal
+		s.recent = s.recent[extra:]
 	}
 }
--- a/pkg/clock/wait.go
+++ b/pkg/clock/wait.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits for d. It reports false if ctx ended before.
+// Sleep waits for d. It returns false if ctx ends first or, if d is not positive, has already ended.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -20,7 +20,7 @@
 	}
 }
 
-// Every calls do each interval, first after one, until ctx ends.
+// Every calls do once per interval until ctx ends. The first call comes after the first interval.
 func Every(ctx context.Context, interval time.Duration, do func(now time.Time)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/pkg/clock/wait_test.go
+++ b/pkg/clock/wait_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSleepEndsWithTheTimeOrTheContext(t *testing.T) {
+func TestSleepEndsWithTimerOrContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
 		require.True(t, Sleep(t.Context(), time.Second))
@@ -17,14 +17,14 @@
 
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		require.True(t, Sleep(ctx, -time.Second), "no time to wait for")
+		require.True(t, Sleep(ctx, -time.Second), "a negative duration returns at once")
 		require.False(t, Sleep(ctx, time.Minute))
 		require.Equal(t, 2*time.Second, time.Since(begun))
 		require.False(t, Sleep(ctx, 0), "the context has ended")
 	})
 }
 
-func TestEveryWaitsFirst(t *testing.T) {
+func TestEveryWaitsBeforeFirstCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 3500*time.Millisecond)
