--- a/pkg/callers/limit.go
+++ b/pkg/callers/limit.go
@@ -1,5 +1,6 @@
-// Package callers bounds what callers' connections can make a VM hold: their number, and how long they may
-// stay without a request.
+// Package callers limits the resources that connections from callers (the programs that send requests to the
+// gateway) can hold on a VM: the number of open connections, and the time for which a connection may stay open
+// without a request.
 package callers
 
 import (
@@ -9,13 +10,15 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Metrics of callers' connections: those that are open, and those that were refused beyond the limit.
+// Names of the metrics of callers' connections: those open now, and those closed at once because they were over
+// the limit.
 const (
 	MetricConnections        = "entry.connections"
 	MetricConnectionsRefused = "entry.connections_refused"
 )
 
-// Limit closes connections beyond max at once, so that the balancer turns to another VM.
+// Limit returns a listener that accepts connections from l and closes those over max open connections at once,
+// so that the load balancer tries another VM.
 func Limit(l net.Listener, max int, registry metrics.Registry) net.Listener {
 	return &limitListener{
 		Listener: l,
@@ -25,6 +28,7 @@
 	}
 }
 
+// limitListener is a listener with a maximum number of open connections.
 type limitListener struct {
 	net.Listener
 	max     int64
@@ -33,7 +37,7 @@
 	gauge   metrics.Gauge
 }
 
-// Accept waits for a connection within the limit.
+// Accept waits for the next connection within the limit, and closes those over the limit.
 func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -46,18 +50,19 @@
 		}
 		l.open.Add(-1)
 		l.refused.Inc(1)
-		// Nothing was read from the connection, and nothing is lost with it.
+		// Nothing has been read from the connection, so no request is lost.
 		_ = conn.Close()
 	}
 }
 
+// limitedConn is an open connection that counts towards the limit of its listener.
 type limitedConn struct {
 	net.Conn
 	listener *limitListener
 	closed   atomic.Bool
 }
 
-// Close closes the connection and frees its place.
+// Close closes the connection, which then no longer counts towards the limit. It may be called more than once.
 func (c *limitedConn) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
 		c.listener.gauge.Update(c.listener.open.Add(-1))
--- a/pkg/callers/limit_test.go
+++ b/pkg/callers/limit_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLimit(t *testing.T) {
+// A connection over the limit is closed at once. Closing one connection twice must make room for one only once.
+func TestListenerClosesConnectionOverLimit(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	registry := metrics.NewRegistry()
@@ -35,7 +36,7 @@
 	dial()
 	first := <-accepted
 	_, err = dial().Read(make([]byte, 1))
-	require.Error(t, err, "the second is closed at once")
+	require.Error(t, err, "the connection over the limit is closed at once")
 	require.Equal(t, int64(1), metrics.GetOrRegisterCounter(MetricConnectionsRefused, registry).Count())
 	first.Close()
 	first.Close()
@@ -43,7 +44,8 @@
 	<-accepted
 }
 
-func TestConnectionsBeyondTheLimitAreClosed(t *testing.T) {
+// An HTTP server on the listener serves connections up to the limit, and a new one once another has closed.
+func TestServerClosesConnectionsOverLimit(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	registry := metrics.NewRegistry()
@@ -51,13 +53,13 @@
 	go func() { _ = server.Serve(Limit(l, 2, registry)) }()
 	t.Cleanup(func() { _ = server.Close() })
 	first, second := dial(t, l.Addr().String()), dial(t, l.Addr().String())
-	ask(t, first)
-	ask(t, second)
+	sendRequest(t, first)
+	sendRequest(t, second)
 	requireClosed(t, dial(t, l.Addr().String()))
 	require.EqualValues(t, 1, metrics.GetOrRegisterCounter(MetricConnectionsRefused, registry).Count())
 	_ = first.Close()
 	require.Eventually(t, func() bool {
 		return metrics.GetOrRegisterGauge(MetricConnections, registry).Value() == 1
 	}, 5*time.Second, time.Millisecond)
-	ask(t, dial(t, l.Addr().String()))
+	sendRequest(t, dial(t, l.Addr().String()))
 }
--- a/pkg/callers/timeouts.go
+++ b/pkg/callers/timeouts.go
@@ -7,61 +7,66 @@
 	"time"
 )
 
-// Patience says how long a VM waits for callers. It may change while connections are open.
+// Patience holds the timeouts of callers' connections. They may change while connections are open.
 type Patience struct {
-	// Header bounds the time in which a request's header arrives, Idle the time without a request.
+	// Header limits the time in which the whole header of a request must arrive, Idle the time between two
+	// requests on a connection.
 	Header, Idle time.Duration
 }
 
-// Watch closes the connections of one server whose callers keep it waiting for too long. The server's own
+// Watch enforces header and idle timeouts on the connections of one HTTP server, because the server's own
 // timeouts cannot change while it runs.
 type Watch struct {
 	mu    sync.Mutex
-	conns map[net.Conn]waiting // guarded by mu
+	conns map[net.Conn]waitingConn // guarded by mu
 }
 
-// waiting is a connection without a whole header of a request.
-type waiting struct {
+// waitingConn is the state of a connection on which no request is being served: the whole header of its next
+// request has not arrived yet.
+type waitingConn struct {
 	since time.Time
-	// fresh says that no request has come on the connection yet.
-	fresh bool
+	// isNew reports whether the connection has not carried a request yet.
+	isNew bool
 }
 
-// NewWatch watches the server's connections. It is called before the server serves.
+// NewWatch returns a Watch of the server's connections. It sets the server's ConnState hook and must be called
+// before the server starts.
 func NewWatch(s *http.Server) *Watch {
-	w := &Watch{conns: map[net.Conn]waiting{}}
-	s.ConnState = w.note
+	w := &Watch{conns: map[net.Conn]waitingConn{}}
+	s.ConnState = w.recordState
 	return w
 }
 
-func (w *Watch) note(c net.Conn, state http.ConnState) {
+// recordState adds the connection to the waiting ones or removes it from them. It is the server's ConnState hook.
+func (w *Watch) recordState(c net.Conn, state http.ConnState) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch state {
 	case http.StateNew, http.StateIdle:
-		w.conns[c] = waiting{since: time.Now(), fresh: state == http.StateNew}
+		w.conns[c] = waitingConn{since: time.Now(), isNew: state == http.StateNew}
 	default:
 		delete(w.conns, c)
 	}
 }
 
-// Sweep closes the connections that have been waited for too long. Where a request has come before, the
-// header of the next may have begun at the end of the idle time.
+// Sweep closes the connections that have exceeded their timeout. A new connection has the time of p.Header. One
+// that has carried a request has p.Idle and p.Header together, because the header of its next request may have
+// begun to arrive at the end of the idle time.
 func (w *Watch) Sweep(p Patience, now time.Time) {
 	w.mu.Lock()
-	var late []net.Conn
+	var expired []net.Conn
 	for c, wait := range w.conns {
 		limit := p.Header
-		if !wait.fresh {
+		if !wait.isNew {
 			limit += p.Idle
 		}
 		if now.Sub(wait.since) > limit {
-			late = append(late, c)
+			expired = append(expired, c)
 		}
 	}
 	w.mu.Unlock()
-	for _, c := range late {
-		// The server notes the end of a connection itself.
+	for _, c := range expired {
+		// The server then calls recordState, which removes the connection.
 		_ = c.Close()
 	}
 }
--- a/pkg/callers/timeouts_test.go
+++ b/pkg/callers/timeouts_test.go
@@ -12,17 +12,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// serve runs a server whose connections are watched.
-func serve(t *testing.T) (*Watch, string) {
+// startServer starts a server whose connections are watched, and returns the Watch and the server's address.
+func startServer(t *testing.T) (*Watch, string) {
 	t.Helper()
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
 	watch := NewWatch(server.Config)
-	// The test server notes states, too.
+	// Start wraps the ConnState hook that NewWatch has set, so NewWatch comes before it.
 	server.Start()
 	t.Cleanup(server.Close)
 	return watch, server.Listener.Addr().String()
 }
 
+// dial opens a connection that is closed when the test ends.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -31,7 +32,8 @@
 	return conn
 }
 
-func ask(t *testing.T, conn net.Conn) {
+// sendRequest sends a request over the connection and reads the whole response.
+func sendRequest(t *testing.T, conn net.Conn) {
 	t.Helper()
 	_, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	require.NoError(t, err)
@@ -41,18 +43,20 @@
 	require.NoError(t, err)
 }
 
-func (w *Watch) waitingFor(fresh bool) int {
+// countWaiting returns the number of waiting connections that are new, or of those that are not.
+func (w *Watch) countWaiting(isNew bool) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
 	for _, wait := range w.conns {
-		if wait.fresh == fresh {
+		if wait.isNew == isNew {
 			n++
 		}
 	}
 	return n
 }
 
+// requireClosed fails the test unless the other side closes the connection within 5 s.
 func requireClosed(t *testing.T, conn net.Conn) {
 	t.Helper()
 	require.NoError(t, conn.SetReadDeadline(time.Now().Add(5*time.Second)))
@@ -65,30 +69,30 @@
 	require.False(t, timeout != nil && timeout.Timeout(), "the connection is still open")
 }
 
-// A caller that opens a connection and sends no whole header is given up after the header's time; one that
-// has sent a request may stay idle longer.
-func TestSlowAndIdleCallersAreGivenUp(t *testing.T) {
-	watch, address := serve(t)
+// A connection on which no whole header arrives is closed after the header timeout. One that has carried a
+// request may stay idle for longer, and is closed after the header and idle timeouts together.
+func TestSlowAndIdleConnectionsAreClosed(t *testing.T) {
+	watch, address := startServer(t)
 	slow, idle := dial(t, address), dial(t, address)
 	_, err := io.WriteString(slow, "GET / HT")
 	require.NoError(t, err)
-	ask(t, idle)
-	require.Eventually(t, func() bool { return watch.waitingFor(true) == 1 && watch.waitingFor(false) == 1 }, 5*time.Second, time.Millisecond)
+	sendRequest(t, idle)
+	require.Eventually(t, func() bool { return watch.countWaiting(true) == 1 && watch.countWaiting(false) == 1 }, 5*time.Second, time.Millisecond)
 	patience := Patience{Header: 2 * time.Second, Idle: 10 * time.Second}
 	now := time.Now()
 	watch.Sweep(patience, now.Add(time.Second))
-	ask(t, idle)
-	require.Equal(t, 1, watch.waitingFor(true))
+	sendRequest(t, idle)
+	require.Equal(t, 1, watch.countWaiting(true))
 	watch.Sweep(patience, now.Add(3*time.Second))
 	requireClosed(t, slow)
-	ask(t, idle)
-	require.Eventually(t, func() bool { return watch.waitingFor(false) == 1 }, 5*time.Second, time.Millisecond)
+	sendRequest(t, idle)
+	require.Eventually(t, func() bool { return watch.countWaiting(false) == 1 }, 5*time.Second, time.Millisecond)
 	watch.Sweep(patience, time.Now().Add(13*time.Second))
 	requireClosed(t, idle)
 }
 
-// A request that is being served is not given up.
-func TestBusyConnectionsStay(t *testing.T) {
+// A connection whose request is still being served must not be closed, however long the request takes.
+func TestBusyConnectionIsKept(t *testing.T) {
 	release := make(chan struct{})
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		<-release
@@ -101,9 +105,9 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		ask(t, conn)
+		sendRequest(t, conn)
 	}()
-	require.Eventually(t, func() bool { return watch.waitingFor(true)+watch.waitingFor(false) == 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return watch.countWaiting(true)+watch.countWaiting(false) == 0 }, 5*time.Second, time.Millisecond)
 	watch.Sweep(Patience{}, time.Now().Add(time.Hour))
 	close(release)
 	<-done
