--- a/pkg/roster/roster.go
+++ b/pkg/roster/roster.go
@@ -1,4 +1,4 @@
-// Package roster holds what the platform's list says of the endpoints.
+// Package roster holds the endpoints of the fleet, as read from the platform's list of endpoints.
 package roster
 
 import (
@@ -8,29 +8,30 @@
 	"time"
 )
 
-// Incarnation tells one run of an endpoint's process from others under the same ID.
+// Incarnation identifies one run of an endpoint's process, as distinct from earlier and later runs under the same
+// ID.
 type Incarnation struct {
 	ID string
-	// Started is when the process started, in Unix milliseconds.
+	// Started is the time when the process started, in Unix milliseconds.
 	Started int64
 }
 
-// Endpoint is one endpoint of the platform's list.
+// Endpoint is one endpoint of the platform's list. VMs send it to each other as JSON under its field names.
 type Endpoint struct {
 	Incarnation
 	Group         string
 	Address       string
 	FailureDomain string
-	// Slots is the number of requests that the endpoint runs at once.
+	// Slots is the number of requests that the endpoint can run at the same time.
 	Slots int
-	// Draining says that the endpoint takes no new requests.
+	// Draining reports that the endpoint accepts no new requests.
 	Draining bool
-	// Loaded are the adapters that the endpoint held when it last reported.
+	// Loaded lists the adapters that were loaded on the endpoint when it last reported.
 	Loaded []Adapter
-	// Kept says that the endpoint is off the list, and may come back to it, as far as a VM knows for which the
-	// store was away.
+	// Kept reports that the endpoint is missing from the platform's list but retained for now: the VM that reads
+	// the list could not reach the store for a while, and the endpoint may come back to the list.
 	Kept bool
-	// GoneAt is when an endpoint that leaves at short notice ends; zero if it is not known.
+	// GoneAt is the time when an endpoint that leaves at short notice will terminate; zero if not known.
 	GoneAt time.Time
 }
 
@@ -41,14 +42,14 @@
 	Version int
 }
 
-// View is the list at one moment. It is immutable.
+// View is an immutable snapshot of the endpoints.
 type View struct {
 	byID   map[string]Endpoint
 	groups map[string][]Endpoint
 	all    []Endpoint
 }
 
-// NewView returns a view of the endpoints.
+// NewView returns a View of the endpoints. It does not change or keep the slice.
 func NewView(endpoints []Endpoint) *View {
 	v := &View{byID: make(map[string]Endpoint, len(endpoints)), groups: map[string][]Endpoint{}}
 	sorted := slices.Clone(endpoints)
@@ -61,27 +62,27 @@
 	return v
 }
 
-// Endpoint returns the endpoint with the ID.
+// Endpoint returns the endpoint with the ID, and whether there is one.
 func (v *View) Endpoint(id string) (Endpoint, bool) {
 	e, ok := v.byID[id]
 	return e, ok
 }
 
-// Group returns the endpoints of a group by ID. The caller must not change the slice.
+// Group returns the endpoints of a group, sorted by ID. The returned slice must not be modified.
 func (v *View) Group(name string) []Endpoint { return v.groups[name] }
 
-// All returns every endpoint by ID. The caller must not change the slice.
+// All returns every endpoint, sorted by ID. The returned slice must not be modified.
 func (v *View) All() []Endpoint { return v.all }
 
 // Len returns the number of endpoints.
 func (v *View) Len() int { return len(v.byID) }
 
-// Roster holds the current view. It is safe for concurrent use.
+// Roster holds the current View. It is safe for concurrent use.
 type Roster struct {
 	view atomic.Pointer[View]
 }
 
-// New returns a roster without endpoints.
+// New returns a Roster without endpoints.
 func New() *Roster {
 	r := &Roster{}
 	r.view.Store(NewView(nil))
--- a/pkg/roster/roster_test.go
+++ b/pkg/roster/roster_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestViewGroupsByIDOrder(t *testing.T) {
+func TestViewSortsEndpointsByID(t *testing.T) {
 	r := New()
 	require.Zero(t, r.View().Len())
 	r.Set(NewView([]Endpoint{
