--- a/pkg/eventlog/eventlog.go
+++ b/pkg/eventlog/eventlog.go
@@ -1,6 +1,6 @@
-// Package eventlog writes structured log lines without holding up the code that logs. Lines are queued
-// and written by a goroutine of their own. A line that finds the queue full, or the rate of lines
-// exceeded, is dropped; how many were is logged.
+// Package eventlog writes structured log lines without blocking the code that logs. Lines are queued and
+// written by a separate goroutine. A line is dropped if the queue is full or the rate limit exceeded; the number
+// of dropped lines is logged.
 package eventlog
 
 import (
@@ -13,27 +13,27 @@
 
 // Defaults of Options.
 const (
-	// DefaultLinesPerSecond bounds the lines of a process. A VM answers up to about 100 requests a second
-	// under load, with one line each and about as many for decisions on the way.
+	// DefaultLinesPerSecond is the maximum rate of lines of a process. Under load a VM serves up to about 100
+	// requests a second, and logs one line for each and about as many again for decisions on their way.
 	DefaultLinesPerSecond = 400
-	// DefaultQueueBytes bounds the lines that wait to be written: a few seconds of them.
+	// DefaultQueueBytes is the maximum size of the queue of lines to be written: the lines of a few seconds.
 	DefaultQueueBytes = 512 << 10
 )
 
-// MetricDropped counts the lines that were dropped.
+// MetricDropped is the name of the counter of dropped lines.
 const MetricDropped = "log.dropped"
 
-// Options say what is logged.
+// Options configure a Log.
 type Options struct {
 	// Level is the least severe level that is logged.
 	Level logrus.Level
-	// JSON selects JSON instead of key=value pairs.
+	// JSON selects lines in JSON instead of key=value pairs.
 	JSON bool
-	// LinesPerSecond bounds the rate of lines; zero stands for DefaultLinesPerSecond.
+	// LinesPerSecond is the maximum rate of lines; zero means DefaultLinesPerSecond.
 	LinesPerSecond int
-	// QueueBytes bounds the queue; zero stands for DefaultQueueBytes.
+	// QueueBytes is the maximum size of the queue; zero means DefaultQueueBytes.
 	QueueBytes int
-	// Metrics receives MetricDropped; nil for none.
+	// Metrics is the registry for MetricDropped; nil means that the counter is not published.
 	Metrics metrics.Registry
 }
 
@@ -43,7 +43,7 @@
 	sink *sink
 }
 
-// New starts a logger that writes to out. Close ends it.
+// New starts a Log that writes to out. Close stops it.
 func New(out io.Writer, o Options) *Log {
 	if o.LinesPerSecond == 0 {
 		o.LinesPerSecond = DefaultLinesPerSecond
@@ -62,25 +62,27 @@
 	logger := logrus.New()
 	logger.SetLevel(o.Level)
 	logger.SetOutput(s)
-	logger.SetFormatter(&rationed{format: format, budget: newBudget(o.LinesPerSecond), dropped: s.drop})
+	logger.SetFormatter(&rateLimitedFormatter{format: format, limiter: newRateLimiter(o.LinesPerSecond), dropped: s.drop})
 	go s.run()
 	return &Log{Logger: logger, sink: s}
 }
 
-// Close writes the lines that are queued, for at most that time, and ends the logger. Later lines are
+// Close stops the Log, and waits for at most the timeout until the queued lines are written. Later lines are
 // dropped.
-func (l *Log) Close(within time.Duration) { l.sink.close(within) }
+func (l *Log) Close(timeout time.Duration) { l.sink.close(timeout) }
 
-// rationed is a formatter that drops lines beyond a budget, before the work of formatting them.
-type rationed struct {
+// rateLimitedFormatter is a formatter that drops lines over the rate limit before it spends time on formatting
+// them.
+type rateLimitedFormatter struct {
 	format  logrus.Formatter
-	budget  *budget
+	limiter *rateLimiter
+	// dropped is called for each dropped line.
 	dropped func()
 }
 
-// Format implements logrus.Formatter. It returns nothing for a line that is dropped.
-func (r *rationed) Format(entry *logrus.Entry) ([]byte, error) {
-	if !r.budget.take(entry.Level, entry.Time) {
+// Format implements logrus.Formatter. For a dropped line it returns no bytes, which sink.Write ignores.
+func (r *rateLimitedFormatter) Format(entry *logrus.Entry) ([]byte, error) {
+	if !r.limiter.allow(entry.Level, entry.Time) {
 		r.dropped()
 		return nil, nil
 	}
--- a/pkg/eventlog/eventlog_test.go
+++ b/pkg/eventlog/eventlog_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// output is a writer that can be made to block.
+// output is a writer that collects what is written. With a gate, writes block until the gate is closed.
 type output struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -53,8 +53,9 @@
 	})
 }
 
-// An output that takes nothing does not hold up the code that logs.
-func TestABlockedOutputDropsLines(t *testing.T) {
+// If the output blocks, the code that logs must not block with it: lines that no longer fit the queue are dropped,
+// counted and reported.
+func TestBlockedOutputDropsLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &output{gate: make(chan struct{})}
 		registry := metrics.NewRegistry()
@@ -79,8 +80,8 @@
 	})
 }
 
-// Under load the lines of lower severity are dropped first.
-func TestTheRateIsBounded(t *testing.T) {
+// At twice the allowed rate, info lines are dropped and every warning is still written.
+func TestRateLimitDropsLowerSeverityFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &output{}
 		log := New(out, Options{Level: logrus.DebugLevel, LinesPerSecond: 100})
@@ -98,8 +99,8 @@
 	})
 }
 
-// Buffers are used again: no line may overwrite another.
-func TestManyBatchesKeepEveryLine(t *testing.T) {
+// The sink reuses its buffers: a line must not overwrite one that is still to be written.
+func TestReusedBuffersKeepEveryLine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &output{}
 		log := New(out, Options{Level: logrus.InfoLevel, LinesPerSecond: 10_000})
@@ -116,7 +117,8 @@
 	})
 }
 
-func TestCloseDoesNotWaitForABlockedOutput(t *testing.T) {
+// If the output blocks, Close must return after its timeout.
+func TestCloseReturnsWhenOutputIsBlocked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &output{gate: make(chan struct{})}
 		log := New(out, Options{Level: logrus.InfoLevel})
--- a/pkg/eventlog/logfmt.go
+++ b/pkg/eventlog/logfmt.go
@@ -12,10 +12,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// eventKey is the field that names a line's event. It comes first.
+// eventKey is the field with the name of the event. It is the first field after time and level.
 const eventKey = "event"
 
-// logfmt writes a line of key=value pairs: time, level, event, and the other fields by name.
+// logfmt formats a line as key=value pairs: time, level, event, msg (the message, if there is one), and the other
+// fields sorted by name.
 type logfmt struct{}
 
 // Format implements logrus.Formatter.
@@ -29,28 +30,28 @@
 	b.WriteString(" level=")
 	b.WriteString(entry.Level.String())
 	if event, ok := entry.Data[eventKey]; ok {
-		pair(b, eventKey, event)
+		appendPair(b, eventKey, event)
 	}
 	if entry.Message != "" {
-		pair(b, "msg", entry.Message)
+		appendPair(b, "msg", entry.Message)
 	}
 	for _, key := range slices.Sorted(maps.Keys(entry.Data)) {
 		if key != eventKey {
-			pair(b, key, entry.Data[key])
+			appendPair(b, key, entry.Data[key])
 		}
 	}
 	b.WriteByte('\n')
 	return b.Bytes(), nil
 }
 
-// pair appends " key=value". Values with characters that would split the line are quoted.
-func pair(b *bytes.Buffer, key string, value any) {
+// appendPair appends " key=value" to b. Values are quoted where appendValue requires it.
+func appendPair(b *bytes.Buffer, key string, value any) {
 	b.WriteByte(' ')
 	b.WriteString(key)
 	b.WriteByte('=')
 	switch v := value.(type) {
 	case string:
-		text(b, v)
+		appendValue(b, v)
 	case int:
 		b.Write(strconv.AppendInt(b.AvailableBuffer(), int64(v), 10))
 	case int64:
@@ -58,20 +59,21 @@
 	case bool:
 		b.Write(strconv.AppendBool(b.AvailableBuffer(), v))
 	case error:
-		text(b, v.Error())
+		appendValue(b, v.Error())
 	case fmt.Stringer:
-		text(b, v.String())
+		appendValue(b, v.String())
 	default:
-		text(b, fmt.Sprint(v))
+		appendValue(b, fmt.Sprint(v))
 	}
 }
 
-// quotable are the characters for which a value is quoted, besides control characters.
+// quotable holds the characters for which a value is quoted, besides control characters and invalid UTF-8.
 const quotable = " =\"\\"
 
-func text(b *bytes.Buffer, s string) {
-	odd := func(r rune) bool { return r < ' ' || r == 0x7f || r == '�' || strings.ContainsRune(quotable, r) }
-	if s == "" || strings.ContainsFunc(s, odd) {
+// appendValue appends s to b, quoted if it is empty or has characters that would make the line ambiguous.
+func appendValue(b *bytes.Buffer, s string) {
+	needsQuoting := func(r rune) bool { return r < ' ' || r == 0x7f || r == '�' || strings.ContainsRune(quotable, r) }
+	if s == "" || strings.ContainsFunc(s, needsQuoting) {
 		b.Write(strconv.AppendQuote(b.AvailableBuffer(), s))
 		return
 	}
--- a/pkg/eventlog/parse_test.go
+++ b/pkg/eventlog/parse_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What the log writes is read back as it was.
-func TestParseReadsWhatIsWritten(t *testing.T) {
+// Parse must return the time and fields that the formatter wrote, also behind the prefix of a log collector.
+func TestParseReadsFormattedLine(t *testing.T) {
 	at := time.Date(2026, 12, 4, 3, 0, 0, 123456789, time.UTC)
 	entry := &logrus.Entry{Time: at, Level: logrus.WarnLevel, Data: logrus.Fields{
 		"event": "request", "id": "ab12", "cause": `an "odd" value = 1`, "empty": "", "waited": 3 * time.Second,
@@ -25,7 +25,7 @@
 	require.Contains(t, line.Fields, "empty")
 }
 
-func TestParseRefusesWhatIsNoLine(t *testing.T) {
+func TestParseRejectsMalformedLine(t *testing.T) {
 	for _, text := range []string{"", "panic: x", "time=yesterday event=x", `time=2026-12-04T03:00:00Z a="open`, "time=2026-12-04T03:00:00Z word"} {
 		_, err := Parse(text)
 		require.Error(t, err, text)
--- a/pkg/eventlog/ratelimit.go
+++ b/pkg/eventlog/ratelimit.go
@@ -7,54 +7,57 @@
 	"github.com/sirupsen/logrus"
 )
 
-// burstTime is how much of the rate may be saved up.
-const burstTime = 2 * time.Second
+// burstDuration is the time for which an unused rate accumulates: the burst is the number of lines that the rate
+// allows in it.
+const burstDuration = 2 * time.Second
 
-// Parts of the saved-up budget that lines of lower severity leave to those of higher ones, so that the
-// line of a failed request is still written when those of answered ones are dropped.
+// Fractions of the burst that are reserved for lines of higher severity, so that the line of a failed request is
+// still written when those of successful ones are dropped.
 const (
-	debugLeaves = 0.6
-	infoLeaves  = 0.3
+	debugReserve = 0.6 // not available to debug lines
+	infoReserve  = 0.3 // not available to info lines
 )
 
-// budget bounds the rate of lines by a token bucket.
-type budget struct {
+// rateLimiter limits the rate of lines with a token bucket, one token a line. It is safe for concurrent use.
+type rateLimiter struct {
 	perSecond float64
 	burst     float64
 
 	mu     sync.Mutex
-	tokens float64   // guarded by mu
-	at     time.Time // guarded by mu
+	tokens float64 // guarded by mu
+	// updatedAt is when tokens was last updated; zero before the first line. It is guarded by mu.
+	updatedAt time.Time
 }
 
-func newBudget(linesPerSecond int) *budget {
+// newRateLimiter returns a rateLimiter with a full burst.
+func newRateLimiter(linesPerSecond int) *rateLimiter {
 	rate := float64(linesPerSecond)
-	burst := rate * burstTime.Seconds()
-	return &budget{perSecond: rate, burst: burst, tokens: burst}
+	burst := rate * burstDuration.Seconds()
+	return &rateLimiter{perSecond: rate, burst: burst, tokens: burst}
 }
 
-// take reports whether a line may be written.
-func (b *budget) take(level logrus.Level, now time.Time) bool {
+// allow reports whether a line of the level may be written, and takes its token if so.
+func (b *rateLimiter) allow(level logrus.Level, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.at.IsZero() {
-		b.tokens = min(b.burst, b.tokens+max(now.Sub(b.at).Seconds(), 0)*b.perSecond)
+	if !b.updatedAt.IsZero() {
+		b.tokens = min(b.burst, b.tokens+max(now.Sub(b.updatedAt).Seconds(), 0)*b.perSecond)
 	}
-	b.at = now
-	if b.tokens < 1+b.leaves(level) {
+	b.updatedAt = now
+	if b.tokens < 1+b.reserve(level) {
 		return false
 	}
 	b.tokens--
 	return true
 }
 
-// leaves returns the tokens that lines of a level leave to more severe ones.
-func (b *budget) leaves(level logrus.Level) float64 {
+// reserve returns the number of tokens that lines of the level must leave to lines of higher severity.
+func (b *rateLimiter) reserve(level logrus.Level) float64 {
 	switch {
 	case level >= logrus.DebugLevel:
-		return debugLeaves * b.burst
+		return debugReserve * b.burst
 	case level == logrus.InfoLevel:
-		return infoLeaves * b.burst
+		return infoReserve * b.burst
 	}
 	return 0
 }
