--- a/pkg/chart/chart.go
+++ b/pkg/chart/chart.go
@@ -1,10 +1,11 @@
-// Package chart interprets state charts that are written in INI files.
+// Package chart implements finite state machines whose states and transitions (the state chart) are declared in
+// INI files.
 //
 // A file has a section [chart] with the keys name and initial, and a section [state NAME] for each
-// state. A state's keys are events, their values the next states. The key "final" marks a state
-// without transitions. The key "ignore" lists events that leave the state as it is, and "reject"
-// events that are errors in it. Each state that is not final must name every event of the chart in
-// one of these ways.
+// state. In a state's section each key is an event, and its value the next state. Three keys are
+// special: "final" marks a state without transitions, "ignore" lists events that do not change the
+// state, and "reject" lists events that are errors in the state. Each state that is not final must
+// declare every event of the chart in exactly one of these ways.
 package chart
 
 import (
@@ -23,9 +24,11 @@
 // Event is the name of an event.
 type Event string
 
-// ErrRejected says that the chart declares the event an error in the current state.
+// ErrRejected means that the event is an error in the current state: the chart lists it under "reject", or does
+// not declare it.
 var ErrRejected = errors.New("chart: event rejected")
 
+// Names of sections and keys of the file.
 const (
 	chartSection = "chart"
 	statePrefix  = "state "
@@ -38,33 +41,34 @@
 type Chart struct {
 	Name    string
 	Initial State
-	states  map[State]*node
-	order   []State
+	states  map[State]*stateDef
+	order   []State // in the order of the file
 	events  map[Event]bool
 }
 
-type node struct {
+// stateDef is the declaration of one state.
+type stateDef struct {
 	final  bool
 	next   map[Event]State
 	ignore map[Event]bool
 	reject map[Event]bool
 }
 
-// Parse reads and validates a chart. The states and events that the code uses are passed as
-// required; the file must declare exactly these.
+// Parse parses and validates a chart. The arguments states and events are those that the code uses; the file must
+// declare exactly these.
 func Parse(data []byte, states []State, events []Event) (*Chart, error) {
 	file, err := ini.Load(data)
 	if err != nil {
-		return nil, errors.Wrap(err, "chart")
+		return nil, errors.Wrap(err, "parse chart")
 	}
-	c := &Chart{states: map[State]*node{}, events: map[Event]bool{}}
+	c := &Chart{states: map[State]*stateDef{}, events: map[Event]bool{}}
 	head := file.Section(chartSection)
 	c.Name = head.Key("name").String()
 	c.Initial = State(head.Key("initial").String())
 	for _, section := range file.Sections() {
 		name, ok := strings.CutPrefix(section.Name(), statePrefix)
 		if ok {
-			c.add(State(name), section)
+			c.addState(State(name), section)
 		}
 	}
 	if err := c.validate(states, events); err != nil {
@@ -73,7 +77,7 @@
 	return c, nil
 }
 
-// MustParse is Parse for charts that are compiled in. It panics on error.
+// MustParse is like Parse but panics on error. It is meant for charts that are embedded in the binary.
 func MustParse(data []byte, states []State, events []Event) *Chart {
 	c, err := Parse(data, states, events)
 	if err != nil {
@@ -82,26 +86,28 @@
 	return c
 }
 
-func (c *Chart) add(name State, section *ini.Section) {
-	n := &node{next: map[Event]State{}, ignore: map[Event]bool{}, reject: map[Event]bool{}}
+// addState adds the state that the section declares, and its events, to the chart.
+func (c *Chart) addState(name State, section *ini.Section) {
+	def := &stateDef{next: map[Event]State{}, ignore: map[Event]bool{}, reject: map[Event]bool{}}
 	for _, key := range section.Keys() {
 		switch key.Name() {
 		case finalKey:
-			n.final = key.MustBool(false)
+			def.final = key.MustBool(false)
 		case ignoreKey:
-			c.mark(n.ignore, key)
+			c.addEvents(def.ignore, key)
 		case rejectKey:
-			c.mark(n.reject, key)
+			c.addEvents(def.reject, key)
 		default:
-			n.next[Event(key.Name())] = State(key.String())
+			def.next[Event(key.Name())] = State(key.String())
 			c.events[Event(key.Name())] = true
 		}
 	}
-	c.states[name] = n
+	c.states[name] = def
 	c.order = append(c.order, name)
 }
 
-func (c *Chart) mark(set map[Event]bool, key *ini.Key) {
+// addEvents adds the events in the key's comma-separated list to set and to the events of the chart.
+func (c *Chart) addEvents(set map[Event]bool, key *ini.Key) {
 	for _, event := range key.Strings(",") {
 		set[Event(event)] = true
 		c.events[Event(event)] = true
@@ -123,6 +129,8 @@
 	return c.checkRequired(states, events)
 }
 
+// validateState checks that a final state has no transitions, and that any other state declares every event of the
+// chart exactly once.
 func (c *Chart) validateState(name State) error {
 	n := c.states[name]
 	if n.final {
@@ -132,21 +140,22 @@
 		return nil
 	}
 	for _, event := range c.Events() {
-		target, moves := n.next[event]
-		if moves && c.states[target] == nil {
+		target, hasNext := n.next[event]
+		if hasNext && c.states[target] == nil {
 			return errors.Errorf("state %q: event %q leads to undeclared state %q", name, event, target)
 		}
-		ways := count(moves, n.ignore[event], n.reject[event])
-		if ways == 0 {
+		declarations := count(hasNext, n.ignore[event], n.reject[event])
+		if declarations == 0 {
 			return errors.Errorf("state %q: missing transition for event %q", name, event)
 		}
-		if ways > 1 {
+		if declarations > 1 {
 			return errors.Errorf("state %q: event %q is declared more than once", name, event)
 		}
 	}
 	return nil
 }
 
+// count returns how many of the flags are true.
 func count(flags ...bool) int {
 	n := 0
 	for _, flag := range flags {
@@ -157,6 +166,7 @@
 	return n
 }
 
+// checkReachable checks that every state can be reached from the initial state.
 func (c *Chart) checkReachable() error {
 	seen := map[State]bool{c.Initial: true}
 	pending := []State{c.Initial}
@@ -178,6 +188,7 @@
 	return nil
 }
 
+// checkRequired checks that the chart declares exactly the given states and events.
 func (c *Chart) checkRequired(states []State, events []Event) error {
 	for _, state := range states {
 		if c.states[state] == nil {
@@ -212,7 +223,7 @@
 	return events
 }
 
-// States returns every state in the order of the file.
+// States returns every state of the chart in the order of the file.
 func (c *Chart) States() []State { return slices.Clone(c.order) }
 
 // Final reports whether the state has no transitions.
@@ -221,8 +232,8 @@
 	return n != nil && n.final
 }
 
-// Next returns the state that event leads to from s. It fails with ErrRejected. A final state
-// ignores every event.
+// Next returns the state after the event in state s. It returns s and an error that wraps ErrRejected if the event
+// is an error in s. A final state ignores every event.
 func (c *Chart) Next(s State, event Event) (State, error) {
 	n := c.states[s]
 	if n == nil {
@@ -248,6 +259,7 @@
 	return b.String()
 }
 
+// writeState writes the transitions of the state in Mermaid's syntax.
 func (c *Chart) writeState(b *strings.Builder, name State) {
 	n := c.states[name]
 	if n.final {
@@ -261,13 +273,13 @@
 	}
 }
 
-// Machine is one run through a chart. The caller synchronises its use.
+// Machine is a state machine that follows a Chart. It is not safe for concurrent use.
 type Machine struct {
 	chart *Chart
 	state State
 }
 
-// NewMachine returns a machine in the chart's initial state.
+// NewMachine returns a Machine in the chart's initial state.
 func NewMachine(c *Chart) *Machine { return &Machine{chart: c, state: c.Initial} }
 
 // State returns the current state.
@@ -276,7 +288,7 @@
 // Done reports whether the current state is final.
 func (m *Machine) Done() bool { return m.chart.Final(m.state) }
 
-// Fire applies the event. On ErrRejected the state stays as it is.
+// Fire applies the event. If it returns an error, such as ErrRejected, the state is unchanged.
 func (m *Machine) Fire(event Event) error {
 	next, err := m.chart.Next(m.state, event)
 	if err != nil {
--- a/pkg/chart/chart_test.go
+++ b/pkg/chart/chart_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// door is a valid chart with ignored and rejected events.
 const door = `
 [chart]
 name = door
@@ -41,7 +42,7 @@
 	require.False(t, m.Done())
 }
 
-func TestParseNamesTheFault(t *testing.T) {
+func TestParseReportsInvalidChart(t *testing.T) {
 	head := "[chart]\nname = x\ninitial = a\n"
 	cases := map[string]struct{ text, want string }{
 		"no initial state":   {"[chart]\ninitial = a\n", `initial state "a" is not declared`},
