--- a/pkg/callers/timeouts.go
+++ b/pkg/callers/timeouts.go
@@ -29,8 +29,8 @@
 	isNew bool
 }
 
-// NewWatch returns a Watch of the server's connections. It sets the server's ConnState hook and must be called
-// before the server starts.
+// NewWatch tracks the connections of the server from its start on. It sets the server's ConnState hook and must be
+// called before the server starts.
 func NewWatch(s *http.Server) *Watch {
 	w := &Watch{conns: map[net.Conn]waitingConn{}}
 	s.ConnState = w.recordState
--- a/pkg/callers/timeouts_test.go
+++ b/pkg/callers/timeouts_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startServer starts a server whose connections are watched, and returns the Watch and the server's address.
+// startServer starts a server whose connections are tracked for timeouts, and returns its address.
 func startServer(t *testing.T) (*Watch, string) {
 	t.Helper()
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
@@ -78,16 +78,16 @@
 	require.NoError(t, err)
 	sendRequest(t, idle)
 	require.Eventually(t, func() bool { return watch.countWaiting(true) == 1 && watch.countWaiting(false) == 1 }, 5*time.Second, time.Millisecond)
-	patience := Patience{Header: 2 * time.Second, Idle: 10 * time.Second}
+	timeouts := Patience{Header: 2 * time.Second, Idle: 10 * time.Second}
 	now := time.Now()
-	watch.Sweep(patience, now.Add(time.Second))
+	watch.Sweep(timeouts, now.Add(time.Second))
 	sendRequest(t, idle)
 	require.Equal(t, 1, watch.countWaiting(true))
-	watch.Sweep(patience, now.Add(3*time.Second))
+	watch.Sweep(timeouts, now.Add(3*time.Second))
 	requireClosed(t, slow)
 	sendRequest(t, idle)
 	require.Eventually(t, func() bool { return watch.countWaiting(false) == 1 }, 5*time.Second, time.Millisecond)
-	watch.Sweep(patience, time.Now().Add(13*time.Second))
+	watch.Sweep(timeouts, time.Now().Add(13*time.Second))
 	requireClosed(t, idle)
 }
 
--- a/pkg/peer/client.go
+++ b/pkg/peer/client.go
@@ -24,7 +24,7 @@
 // loopback addresses only.
 type TLSSource func() *tls.Config
 
-// Pool is a Caller that keeps one open connection per address. It is safe for concurrent use.
+// Pool makes calls over one open connection per address, which it dials when needed. It is safe for concurrent use.
 type Pool struct {
 	tls     TLSSource
 	traffic Traffic
@@ -69,9 +69,9 @@
 	return &Pool{tls: source, traffic: traffic, clients: map[string]*rpcClient{}}
 }
 
-// Call implements Caller. A call on a cached connection that had already closed is retried once on a new
-// connection: the peer cannot have received it. After a failed call the connection is dropped, unless only ctx
-// has ended and the connection is not unresponsive.
+// Call invokes method at the peer address. A call on a cached connection that had already closed is retried once
+// on a new connection: the peer cannot have received it. After a failed call the connection is dropped, unless
+// the method itself returned the error, or only ctx has ended and the connection is not unresponsive.
 func (p *Pool) Call(ctx context.Context, address, method string, args, reply any) error {
 	for attempt := 0; ; attempt++ {
 		client, err := p.clientFor(ctx, address)
--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors that a Caller returns, possibly wrapped. Any other error comes from the called method.
+// Errors that Call returns, possibly wrapped. Any other error comes from the called method.
 var (
 	// ErrRefused means that nothing listens at the address: the process there has exited.
 	ErrRefused = errors.New("peer: connection refused")
