--- a/pkg/callers/timeouts.go
+++ b/pkg/callers/timeouts.go
@@ -14,23 +14,25 @@
 	Header, Idle time.Duration
 }
 
-// Watch enforces header and idle timeouts on the connections of one HTTP server, because the server's own
-// timeouts cannot change while it runs.
+// Watch enforces header and idle timeouts on the connections of one HTTP server, because the server's
+// own timeouts cannot change while it runs.
 type Watch struct {
-	mu    sync.Mutex
-	conns map[net.Conn]waitingConn // guarded by mu
+	mu sync.Mutex
+	// conns holds the connections that no request is being served on. It is guarded by mu.
+	conns map[net.Conn]waitingConn
 }
 
 // waitingConn is the state of a connection on which no request is being served: the whole header of its next
 // request has not arrived yet.
 type waitingConn struct {
+	// since is when the connection was opened or became idle.
 	since time.Time
 	// isNew reports whether the connection has not carried a request yet.
 	isNew bool
 }
 
-// NewWatch tracks the connections of the server from its start on. It sets the server's ConnState hook and must be
-// called before the server starts.
+// NewWatch tracks the connections of the server from its start on. It sets the server's ConnState
+// hook and must be called before the server starts.
 func NewWatch(s *http.Server) *Watch {
 	w := &Watch{conns: map[net.Conn]waitingConn{}}
 	s.ConnState = w.recordState
@@ -49,9 +51,9 @@
 	}
 }
 
-// Sweep closes the connections that have exceeded their timeout. A new connection has the time of p.Header. One
-// that has carried a request has p.Idle and p.Header together, because the header of its next request may have
-// begun to arrive at the end of the idle time.
+// Sweep closes the connections that have exceeded their timeout. A new connection is closed after
+// p.Header; one that has carried a request after p.Idle and p.Header together, because the header of its
+// next request may have begun to arrive at the end of the idle time.
 func (w *Watch) Sweep(p Patience, now time.Time) {
 	w.mu.Lock()
 	var expired []net.Conn
--- a/pkg/eventlog/ratelimit.go
+++ b/pkg/eventlog/ratelimit.go
@@ -37,27 +37,27 @@
 }
 
 // allow reports whether a line of the level may be written, and takes its token if so.
-func (b *rateLimiter) allow(level logrus.Level, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.updatedAt.IsZero() {
-		b.tokens = min(b.burst, b.tokens+max(now.Sub(b.updatedAt).Seconds(), 0)*b.perSecond)
+func (l *rateLimiter) allow(level logrus.Level, now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.updatedAt.IsZero() {
+		l.tokens = min(l.burst, l.tokens+max(now.Sub(l.updatedAt).Seconds(), 0)*l.perSecond)
 	}
-	b.updatedAt = now
-	if b.tokens < 1+b.reserve(level) {
+	l.updatedAt = now
+	if l.tokens < 1+l.reserve(level) {
 		return false
 	}
-	b.tokens--
+	l.tokens--
 	return true
 }
 
 // reserve returns the number of tokens that lines of the level must leave to lines of higher severity.
-func (b *rateLimiter) reserve(level logrus.Level) float64 {
+func (l *rateLimiter) reserve(level logrus.Level) float64 {
 	switch {
 	case level >= logrus.DebugLevel:
-		return debugReserve * b.burst
+		return debugReserve * l.burst
 	case level == logrus.InfoLevel:
-		return infoReserve * b.burst
+		return infoReserve * l.burst
 	}
 	return 0
 }
