--- /dev/null
+++ b/pkg/callers/timeouts.go
@@ -0,0 +1,74 @@
+package callers
+
+import (
+	"net"
+	"net/http"
+	"sync"
+	"time"
+)
+
+// Patience holds the timeouts of callers' connections. They may change while connections are open.
+type Patience struct {
+	// Header limits the time in which the whole header of a request must arrive, Idle the time between two
+	// requests on a connection.
+	Header, Idle time.Duration
+}
+
+// Watch enforces header and idle timeouts on the connections of one HTTP server, because the server's
+// own timeouts cannot change while it runs.
+type Watch struct {
+	mu sync.Mutex
+	// conns holds the connections that no request is being served on. It is guarded by mu.
+	conns map[net.Conn]waitingConn
+}
+
+// waitingConn is the state of a connection on which no request is being served: the whole header of its next
+// request has not arrived yet.
+type waitingConn struct {
+	// since is when the connection was opened or became idle.
+	since time.Time
+	// isNew reports whether the connection has not carried a request yet.
+	isNew bool
+}
+
+// NewWatch tracks the connections of the server from its start on. It sets the server's ConnState
+// hook and must be called before the server starts.
+func NewWatch(s *http.Server) *Watch {
+	w := &Watch{conns: map[net.Conn]waitingConn{}}
+	s.ConnState = w.recordState
+	return w
+}
+
+// recordState adds the connection to the waiting ones or removes it from them. It is the server's ConnState hook.
+func (w *Watch) recordState(c net.Conn, state http.ConnState) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	switch state {
+	case http.StateNew, http.StateIdle:
+		w.conns[c] = waitingConn{since: time.Now(), isNew: state == http.StateNew}
+	default:
+		delete(w.conns, c)
+	}
+}
+
+// Sweep closes the connections that have exceeded their timeout. A new connection is closed after
+// p.Header; one that has carried a request after p.Idle and p.Header together, because the header of its
+// next request may have begun to arrive at the end of the idle time.
+func (w *Watch) Sweep(p Patience, now time.Time) {
+	w.mu.Lock()
+	var expired []net.Conn
+	for c, wait := range w.conns {
+		limit := p.Header
+		if !wait.isNew {
+			limit += p.Idle
+		}
+		if now.Sub(wait.since) > limit {
+			expired = append(expired, c)
+		}
+	}
+	w.mu.Unlock()
+	for _, c := range expired {
+		// The server then calls recordState, which removes the connection.
+		_ = c.Close()
+	}
+}
