--- a/cmd/mallowlinkctl/main.go
+++ b/cmd/mallowlinkctl/main.go
@@ -1,4 +1,4 @@
-// Command mallowlinkctl is the operators' tool.
+// Command mallowlinkctl is the operators' command-line tool.
 package main
 
 import (
--- a/cmd/mallowlinkd/main.go
+++ b/cmd/mallowlinkd/main.go
@@ -1,4 +1,4 @@
-// Command mallowlinkd is the daemon that runs on every VM.
+// Command mallowlinkd is the daemon that runs on every VM of the fleet.
 package main
 
 import (
