--- a/pkg/certs/certs_test.go
+++ b/pkg/certs/certs_test.go
@@ -23,8 +23,9 @@
 	return a
 }
 
-// write issues a certificate into dir and returns its files.
-func write(t *testing.T, a *Authority, dir string) Files {
+// writeCertificate issues a certificate, writes it, its key and the CA certificate to dir, and returns
+// the names of the files.
+func writeCertificate(t *testing.T, a *Authority, dir string) Files {
 	t.Helper()
 	pair, err := a.Issue("vm", []netip.Addr{netip.MustParseAddr("127.0.0.1")}, time.Now(), day)
 	require.NoError(t, err)
@@ -44,8 +45,8 @@
 	return r
 }
 
-// shake does a handshake between the two sides and returns the server's error.
-func shake(t *testing.T, server, client *tls.Config) error {
+// handshake performs a TLS handshake between a server and a client and returns the server's error.
+func handshake(t *testing.T, server, client *tls.Config) error {
 	t.Helper()
 	a, b := net.Pipe()
 	defer a.Close()
@@ -54,45 +55,47 @@
 	return tls.Server(a, server).Handshake()
 }
 
-func TestPeersTakeTheirOwnCAOnly(t *testing.T) {
-	ours, theirs := newAuthority(t), newAuthority(t)
-	a, b := newReloader(t, write(t, ours, t.TempDir())), newReloader(t, write(t, ours, t.TempDir()))
-	stranger := newReloader(t, write(t, theirs, t.TempDir()))
-	require.NoError(t, shake(t, a.Peer(), b.Peer()))
-	require.Error(t, shake(t, a.Peer(), stranger.Peer()))
-	require.Error(t, shake(t, stranger.Peer(), a.Peer()))
-	require.Error(t, shake(t, a.Peer(), &tls.Config{InsecureSkipVerify: true}))
+func TestPeersAcceptOnlyTheirOwnCA(t *testing.T) {
+	ours, other := newAuthority(t), newAuthority(t)
+	a, b := newReloader(t, writeCertificate(t, ours, t.TempDir())), newReloader(t, writeCertificate(t, ours, t.TempDir()))
+	untrusted := newReloader(t, writeCertificate(t, other, t.TempDir()))
+	require.NoError(t, handshake(t, a.PeerConfig(), b.PeerConfig()))
+	require.Error(t, handshake(t, a.PeerConfig(), untrusted.PeerConfig()))
+	require.Error(t, handshake(t, untrusted.PeerConfig(), a.PeerConfig()))
+	require.Error(t, handshake(t, a.PeerConfig(), &tls.Config{InsecureSkipVerify: true}))
 }
 
-func TestChangedFilesAreTakenUp(t *testing.T) {
+// Files are replaced one after another: while certificate and key do not match, the previous
+// configuration must stay in use.
+func TestReloadsChangedFiles(t *testing.T) {
 	ours, next := newAuthority(t), newAuthority(t)
 	dir := t.TempDir()
-	files := write(t, ours, dir)
+	files := writeCertificate(t, ours, dir)
 	r := newReloader(t, files)
-	old := r.Peer()
+	old := r.PeerConfig()
 	require.NoError(t, os.WriteFile(files.Key, []byte("half written"), 0o600))
-	r.check()
-	require.Same(t, old, r.Peer())
-	write(t, next, dir)
-	r.check()
-	require.NoError(t, shake(t, r.Peer(), newReloader(t, write(t, next, t.TempDir())).Peer()))
-	require.Error(t, shake(t, r.Peer(), old))
+	r.reloadAndLog()
+	require.Same(t, old, r.PeerConfig())
+	writeCertificate(t, next, dir)
+	r.reloadAndLog()
+	require.NoError(t, handshake(t, r.PeerConfig(), newReloader(t, writeCertificate(t, next, t.TempDir())).PeerConfig()))
+	require.Error(t, handshake(t, r.PeerConfig(), old))
 }
 
 func TestCallersListenerUsesCurrentFiles(t *testing.T) {
 	ours := newAuthority(t)
-	files := write(t, ours, t.TempDir())
-	client := newReloader(t, files).Peer()
+	files := writeCertificate(t, ours, t.TempDir())
+	client := newReloader(t, files).PeerConfig()
 	files.CA = ""
 	r := newReloader(t, files)
-	require.NoError(t, shake(t, r.Callers(), client))
+	require.NoError(t, handshake(t, r.CallersConfig(), client))
 }
 
-func TestAuthorityIsReadBack(t *testing.T) {
+func TestLoadAuthority(t *testing.T) {
 	a := newAuthority(t)
-	again, err := LoadAuthority(a.Pair)
+	loaded, err := LoadAuthority(a.Pair)
 	require.NoError(t, err)
-	require.True(t, a.cert.Equal(again.cert))
+	require.True(t, a.cert.Equal(loaded.cert))
 	_, err = LoadAuthority(Pair{})
 	require.Error(t, err)
 }
--- a/pkg/certs/issue.go
+++ b/pkg/certs/issue.go
@@ -1,5 +1,5 @@
-// Package certs makes certificates for tests and development, and keeps TLS configurations up to
-// date with their files.
+// Package certs issues certificates for tests and development, and reloads TLS configurations when
+// their files change.
 package certs
 
 import (
@@ -16,17 +16,19 @@
 	"github.com/go-faster/errors"
 )
 
-// PeerName is the DNS name that the certificate of every VM carries. VMs check it instead of
-// addresses, because any certificate of the peers' CA makes a VM.
+// PeerName is the DNS name in the certificate of every VM. VMs verify this name instead of each other's
+// addresses, because every holder of a certificate issued by the peers' CA is accepted as a VM.
 const PeerName = "vm.mallowlink.internal"
 
 const (
+	// serialBits is the length of the random serial numbers.
 	serialBits = 127
-	// backdate allows for clocks that are behind.
+	// backdate is how far the start of validity lies in the past, so that verifiers whose clocks are
+	// behind accept a new certificate.
 	backdate = 5 * time.Minute
 
-	blockCert = "CERTIFICATE"
-	blockKey  = "PRIVATE KEY"
+	pemTypeCert = "CERTIFICATE"
+	pemTypeKey  = "PRIVATE KEY"
 )
 
 // Pair is a certificate with its private key, both as PEM.
@@ -43,7 +45,8 @@
 	Pair Pair
 }
 
-// NewAuthority returns an authority that is valid from now on.
+// NewAuthority returns an authority with a new key and a self-signed certificate that is valid from
+// backdate before now until validity after now.
 func NewAuthority(name string, now time.Time, validity time.Duration) (*Authority, error) {
 	key, err := newKey()
 	if err != nil {
@@ -68,24 +71,25 @@
 	certBlock, _ := pem.Decode(pair.Cert)
 	keyBlock, _ := pem.Decode(pair.Key)
 	if certBlock == nil || keyBlock == nil {
-		return nil, errors.New("certs: authority is not PEM")
+		return nil, errors.New("certs: certificate or key of the authority is not PEM")
 	}
 	cert, err := x509.ParseCertificate(certBlock.Bytes)
 	if err != nil {
-		return nil, errors.Wrap(err, "parse authority")
+		return nil, errors.Wrap(err, "parse certificate of the authority")
 	}
 	key, err := x509.ParsePKCS8PrivateKey(keyBlock.Bytes)
 	if err != nil {
-		return nil, errors.Wrap(err, "parse authority's key")
+		return nil, errors.Wrap(err, "parse key of the authority")
 	}
 	signer, ok := key.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, errors.New("certs: authority's key is not ECDSA")
+		return nil, errors.New("certs: key of the authority is not ECDSA")
 	}
 	return &Authority{cert: cert, key: signer, Pair: pair}, nil
 }
 
-// Issue returns a certificate for a VM or a listener at the given addresses.
+// Issue returns a new key and a certificate for a VM or a listener at the given addresses. The
+// certificate also carries PeerName and is usable by servers and clients.
 func (a *Authority) Issue(name string, addresses []netip.Addr, now time.Time, validity time.Duration) (Pair, error) {
 	key, err := newKey()
 	if err != nil {
@@ -135,7 +139,7 @@
 		return Pair{}, errors.Wrap(err, "encode key")
 	}
 	return Pair{
-		Cert: pem.EncodeToMemory(&pem.Block{Type: blockCert, Bytes: der}),
-		Key:  pem.EncodeToMemory(&pem.Block{Type: blockKey, Bytes: raw}),
+		Cert: pem.EncodeToMemory(&pem.Block{Type: pemTypeCert, Bytes: der}),
+		Key:  pem.EncodeToMemory(&pem.Block{Type: pemTypeKey, Bytes: raw}),
 	}, nil
 }
--- a/pkg/certs/reload.go
+++ b/pkg/certs/reload.go
@@ -15,35 +15,40 @@
 	"github.com/mallowlink/mallowlink/pkg/clock"
 )
 
-// Files names the PEM files of a TLS configuration. CA is empty for callers' listeners.
+// Files holds the names of the PEM files of a TLS configuration. CA is empty for the callers' listener,
+// which does not ask for client certificates.
 type Files struct {
 	Cert string
 	Key  string
 	CA   string
 }
 
-// Reloader holds the TLS configuration that its files describe. It is safe for concurrent use.
+// Reloader holds the TLS configuration built from its files, and rebuilds it while Run is active. It is
+// safe for concurrent use.
 type Reloader struct {
 	files    Files
 	interval time.Duration
 	log      logrus.FieldLogger
-	current  atomic.Pointer[loaded]
+	current  atomic.Pointer[loadedConfig]
 }
 
-type loaded struct {
-	text   contents
-	config *tls.Config
+// loadedConfig is a TLS configuration with the file contents that it was built from.
+type loadedConfig struct {
+	contents fileContents
+	config   *tls.Config
 }
 
-type contents struct {
+// fileContents are the contents of the files named in Files; ca is nil if Files.CA is empty.
+type fileContents struct {
 	cert, key, ca []byte
 }
 
-func (c contents) equal(o contents) bool {
-	return bytes.Equal(c.cert, o.cert) && bytes.Equal(c.key, o.key) && bytes.Equal(c.ca, o.ca)
+func (c fileContents) equal(other fileContents) bool {
+	return bytes.Equal(c.cert, other.cert) && bytes.Equal(c.key, other.key) && bytes.Equal(c.ca, other.ca)
 }
 
-// NewReloader reads the files once. Run looks at them again every interval.
+// NewReloader reads the files once and fails if they do not form a TLS configuration. Run reads them
+// again at every interval.
 func NewReloader(files Files, interval time.Duration, log logrus.FieldLogger) (*Reloader, error) {
 	r := &Reloader{files: files, interval: interval, log: log}
 	if _, err := r.reload(); err != nil {
@@ -52,69 +57,72 @@
 	return r, nil
 }
 
-// Run takes up changed files until ctx ends. Files that do not fit together are logged, and the
-// earlier ones stay in use.
+// Run rereads the files at every interval until ctx is done. If changed files do not form a valid
+// configuration, for example because only one of them has been replaced yet, Run logs the error and
+// the previous configuration stays in use.
 func (r *Reloader) Run(ctx context.Context) error {
-	clock.Every(ctx, r.interval, func(time.Time) { r.check() })
+	clock.Every(ctx, r.interval, func(time.Time) { r.reloadAndLog() })
 	return nil
 }
 
-func (r *Reloader) check() {
+func (r *Reloader) reloadAndLog() {
 	changed, err := r.reload()
 	entry := r.log.WithField("file", r.files.Cert)
 	switch {
 	case err != nil:
-		entry.WithFields(logrus.Fields{"event": "tls_reload_failed", "error": err.Error()}).Warn("")
+		entry.WithFields(logrus.Fields{"event": "tls_reload_failed", "error": err.Error()}).Warn("could not reload TLS files; the previous configuration stays in use")
 	case changed:
-		entry.WithField("event", "tls_reloaded").Info("")
+		entry.WithField("event", "tls_reloaded").Info("changed TLS files reloaded")
 	}
 }
 
 // reload reads the files and reports whether they have changed.
 func (r *Reloader) reload() (bool, error) {
-	text, err := r.read()
+	contents, err := r.read()
 	if err != nil {
 		return false, err
 	}
-	if before := r.current.Load(); before != nil && before.text.equal(text) {
+	if previous := r.current.Load(); previous != nil && previous.contents.equal(contents) {
 		return false, nil
 	}
-	config, err := newConfig(text)
+	config, err := newConfig(contents)
 	if err != nil {
 		return false, err
 	}
-	r.current.Store(&loaded{text: text, config: config})
+	r.current.Store(&loadedConfig{contents: contents, config: config})
 	return true, nil
 }
 
-func (r *Reloader) read() (contents, error) {
-	var text contents
-	for name, to := range map[string]*[]byte{r.files.Cert: &text.cert, r.files.Key: &text.key, r.files.CA: &text.ca} {
+func (r *Reloader) read() (fileContents, error) {
+	var contents fileContents
+	for name, target := range map[string]*[]byte{r.files.Cert: &contents.cert, r.files.Key: &contents.key, r.files.CA: &contents.ca} {
 		if name == "" {
 			continue
 		}
 		data, err := os.ReadFile(name)
 		if err != nil {
-			return contents{}, errors.Wrap(err, "read TLS file")
+			return fileContents{}, errors.Wrap(err, "read TLS file")
 		}
-		*to = data
+		*target = data
 	}
-	return text, nil
+	return contents, nil
 }
 
-func newConfig(text contents) (*tls.Config, error) {
-	pair, err := tls.X509KeyPair(text.cert, text.key)
+// newConfig returns a configuration for connections between VMs, with certificates verified on both
+// sides, or for the callers' listener if there is no CA file.
+func newConfig(contents fileContents) (*tls.Config, error) {
+	pair, err := tls.X509KeyPair(contents.cert, contents.key)
 	if err != nil {
-		return nil, errors.Wrap(err, "certificate and key")
+		return nil, errors.Wrap(err, "parse certificate and key")
 	}
 	config := &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12}
-	if text.ca == nil {
+	if contents.ca == nil {
 		config.NextProtos = []string{"h2", "http/1.1"}
 		return config, nil
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(text.ca) {
-		return nil, errors.New("certs: no CA certificate in the file")
+	if !pool.AppendCertsFromPEM(contents.ca) {
+		return nil, errors.New("certs: CA file contains no valid certificate")
 	}
 	config.MinVersion = tls.VersionTLS13
 	config.RootCAs = pool
@@ -124,12 +132,13 @@
 	return config, nil
 }
 
-// Peer returns the configuration for the next connection between VMs, on either side.
-func (r *Reloader) Peer() *tls.Config { return r.current.Load().config }
+// PeerConfig returns the current configuration. VMs use it for new connections to each other, as client
+// and as server.
+func (r *Reloader) PeerConfig() *tls.Config { return r.current.Load().config }
 
-// Callers returns a configuration for a listener that lives as long as the process: each new
-// connection gets the current files.
-func (r *Reloader) Callers() *tls.Config {
+// CallersConfig returns a configuration for the callers' listener. It can be used for the lifetime of the
+// process, because it selects the current configuration for each new connection.
+func (r *Reloader) CallersConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		NextProtos: []string{"h2", "http/1.1"},
--- a/pkg/daemon/identity.go
+++ b/pkg/daemon/identity.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		return peerTLS{}, errors.Wrap(err, "peer TLS")
 	}
-	return peerTLS{source: reloader.Peer, reloader: reloader}, nil
+	return peerTLS{source: reloader.PeerConfig, reloader: reloader}, nil
 }
 
 // callerTLS is the TLS configuration towards callers; a nil reloader means plain HTTP.
@@ -117,7 +117,7 @@
 	if c.reloader == nil {
 		return nil
 	}
-	return c.reloader.Callers()
+	return c.reloader.CallersConfig()
 }
 
 func newCallerTLS(s settings.Settings, log logrus.FieldLogger) (callerTLS, error) {
