--- a/pkg/admin/admin.go
+++ b/pkg/admin/admin.go
@@ -1,4 +1,5 @@
-// Package admin serves operators: metrics and a dump of the process's state.
+// Package admin provides the HTTP handler for operators: metrics, a dump of the process's state, a
+// health check and profiles.
 package admin
 
 import (
@@ -10,11 +11,12 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// StateFunc returns the process's state as a value that encodes to JSON. It holds no caller's key.
+// StateFunc returns the process's state as a value that encodes to JSON. The value must not contain the
+// API key of any caller.
 type StateFunc func() any
 
-// NewHandler returns the admin listener's handler:
-// GET /state, /metrics (Prometheus text), /metrics.json, /healthz and /debug/pprof.
+// NewHandler returns the handler for the admin listener. It serves GET requests for /state, /metrics
+// (Prometheus text format), /metrics.json, /healthz and /debug/pprof.
 func NewHandler(state StateFunc, registry metrics.Registry) http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/state", serveState(state)).Methods(http.MethodGet)
