--- a/pkg/inifile/inifile_test.go
+++ b/pkg/inifile/inifile_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestTextThatIsNoINI(t *testing.T) {
+func TestParseRejectsInvalidText(t *testing.T) {
 	for _, text := range []string{"\xff", "\uFEFF[a]\n", "[a]\nb = \x00\n", "[]\n", "[a] b\n", "= 1"} {
 		report := &Report{}
 		Parse("f", []byte(text), report)
@@ -83,7 +83,8 @@
 	}
 }
 
-// FuzzParse checks the values that the library reads against the lines that the scan has found.
+// FuzzParse checks that every value that the INI library reads equals the text after the equals sign in
+// the line that the line scanner has recorded for the key.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("[a]\nb = c\n[a]\nb = \\\nd = 'x'\n"))
 	f.Add([]byte("[x\n[y]\n\"\"\"k\"\"\" = v\nk = %(k)s # no\n[DEFAULT]\na=1"))
--- a/pkg/inifile/parse.go
+++ b/pkg/inifile/parse.go
@@ -9,9 +9,12 @@
 	"gopkg.in/ini.v1"
 )
 
-// MaxNameBytes bounds the length of a section's or key's name.
+// MaxNameBytes is the maximum length of the name of a section or key.
 const MaxNameBytes = 256
 
+// loadOptions switch off the extensions of the INI library that the format does not have. A dot in a name
+// makes no child section, because the delimiter is a NUL, which checkText rejects. Duplicate sections are
+// kept apart, because attachValues pairs sections by position.
 var loadOptions = ini.LoadOptions{
 	IgnoreContinuation:      true,
 	IgnoreInlineComment:     true,
@@ -27,25 +30,26 @@
 	Sections []*Section
 }
 
-// Parse parses data. Faults go to the report; what could be read is returned all the same, so that
-// the reader of the values can add its own.
+// Parse parses data and adds problems to the report. It returns the sections that it could read even if
+// there are problems, so that the caller can check their values and report all problems together.
 func Parse(name string, data []byte, report *Report) *File {
 	file := &File{Name: name}
-	if fault := checkText(data); fault != "" {
-		report.Add(Problem{File: name, Reason: fault})
+	if reason := checkText(data); reason != "" {
+		report.Add(Problem{File: name, Reason: reason})
 		return file
 	}
-	s := newScan(name, report)
-	clean := s.run(data)
-	loaded, err := ini.LoadSources(loadOptions, clean)
+	s := newLineScanner(name, report)
+	cleaned := s.blankMalformed(data)
+	loaded, err := ini.LoadSources(loadOptions, cleaned)
 	if err != nil {
 		report.Add(Problem{File: name, Reason: err.Error()})
 		return file
 	}
-	file.Sections = s.join(loaded)
+	file.Sections = s.attachValues(loaded)
 	return file
 }
 
+// checkText returns why data is not acceptable as text, or an empty string.
 func checkText(data []byte) string {
 	if !utf8.Valid(data) {
 		return "not UTF-8 text"
@@ -64,46 +68,49 @@
 	return r < ' ' && r != '\n' && r != '\r' && r != '\t' || r == 0x7f
 }
 
-// scan finds the lines of sections and keys, which the INI library does not tell.
-type scan struct {
+// lineScanner finds the malformed lines, and the line numbers of sections and keys, which the INI library
+// does not provide.
+type lineScanner struct {
 	file     string
 	report   *Report
 	sections []*Section
-	seen     map[string]int
+	// sectionLines holds the line of the last section with each name.
+	sectionLines map[string]int
 }
 
-func newScan(file string, report *Report) *scan {
-	return &scan{file: file, report: report, seen: map[string]int{}}
+func newLineScanner(file string, report *Report) *lineScanner {
+	return &lineScanner{file: file, report: report, sectionLines: map[string]int{}}
 }
 
-// run returns the data with malformed lines blanked, so that the library reads all others.
-func (s *scan) run(data []byte) []byte {
-	clean := make([]byte, 0, len(data)+1)
+// blankMalformed scans the data and returns them with malformed lines replaced by empty ones, so that the
+// library can read all others.
+func (s *lineScanner) blankMalformed(data []byte) []byte {
+	cleaned := make([]byte, 0, len(data)+1)
 	number := 0
 	for rest := data; len(rest) > 0; {
 		number++
 		var line []byte
 		line, rest, _ = bytes.Cut(rest, []byte("\n"))
-		if s.line(number, string(bytes.TrimSpace(line))) {
-			clean = append(clean, line...)
+		if s.scanLine(number, string(bytes.TrimSpace(line))) {
+			cleaned = append(cleaned, line...)
 		}
-		clean = append(clean, '\n')
+		cleaned = append(cleaned, '\n')
 	}
-	return clean
+	return cleaned
 }
 
-// line takes in one line and reports whether the library is to see it.
-func (s *scan) line(number int, text string) bool {
+// scanLine records a section header or key and reports whether to pass the line on to the library.
+func (s *lineScanner) scanLine(number int, text string) bool {
 	if text == "" || text[0] == '#' || text[0] == ';' {
 		return true
 	}
 	if text[0] == '[' {
-		return s.section(number, text)
+		return s.scanSection(number, text)
 	}
-	return s.key(number, text)
+	return s.scanKey(number, text)
 }
 
-func (s *scan) section(number int, text string) bool {
+func (s *lineScanner) scanSection(number int, text string) bool {
 	name := strings.TrimSuffix(text[1:], "]")
 	section := &Section{Name: name, Line: number, file: s.file, report: s.report}
 	s.sections = append(s.sections, section)
@@ -112,13 +119,13 @@
 		s.report.Add(Problem{File: s.file, Line: number, Reason: "malformed section header"})
 		return false
 	}
-	if first, ok := s.seen[name]; ok {
+	if first, ok := s.sectionLines[name]; ok {
 		s.report.Add(Problem{
 			File: s.file, Line: number, Section: name,
 			Reason: fmt.Sprintf("section stands twice, first in line %d", first),
 		})
 	}
-	s.seen[name] = number
+	s.sectionLines[name] = number
 	return true
 }
 
@@ -129,20 +136,20 @@
 	return !strings.ContainsAny(name, "[]\"`=#;")
 }
 
-func (s *scan) key(number int, text string) bool {
+func (s *lineScanner) scanKey(number int, text string) bool {
 	name, value, ok := strings.Cut(text, "=")
 	name = strings.TrimSpace(name)
 	value = strings.TrimSpace(value)
 	if !ok || !validName(name) {
-		s.fail(number, "", "neither a comment, a section nor key = value")
+		s.addProblem(number, "", "neither a comment, a section nor key = value")
 		return false
 	}
 	if len(s.sections) == 0 {
-		s.fail(number, name, "key outside a section")
+		s.addProblem(number, name, "key outside a section")
 		return false
 	}
 	if strings.HasPrefix(value, "`") || strings.HasPrefix(value, `"`) {
-		s.fail(number, name, "quoted values are not allowed")
+		s.addProblem(number, name, "quoted values are not allowed")
 		return false
 	}
 	section := s.sections[len(s.sections)-1]
@@ -154,7 +161,7 @@
 	return !section.malformed
 }
 
-func (s *scan) fail(number int, key, reason string) {
+func (s *lineScanner) addProblem(number int, key, reason string) {
 	p := Problem{File: s.file, Line: number, Key: key, Reason: reason}
 	if n := len(s.sections); n > 0 {
 		p.Section = s.sections[n-1].Name
@@ -162,18 +169,20 @@
 	s.report.Add(p)
 }
 
-// join fills in the values that the library has read, and leaves out malformed sections.
-func (s *scan) join(loaded *ini.File) []*Section {
+// attachValues sets the values that the library has read, and returns the sections without malformed
+// ones. The library did not get the headers of malformed sections. Its first section is the default one,
+// for keys before the first header; the others are in the order in which the scanner found them.
+func (s *lineScanner) attachValues(loaded *ini.File) []*Section {
 	values := loaded.Sections()[1:]
 	var sections []*Section
 	for _, section := range s.sections {
 		if section.malformed {
 			continue
 		}
-		from := values[len(sections)]
+		source := values[len(sections)]
 		for i := range section.entries {
 			e := &section.entries[i]
-			e.value = from.Key(e.name).Value()
+			e.value = source.Key(e.name).Value()
 		}
 		sections = append(sections, section)
 	}
--- a/pkg/inifile/problem.go
+++ b/pkg/inifile/problem.go
@@ -1,9 +1,9 @@
-// Package inifile reads INI files strictly. Every fault is reported with file, line, section, key
-// and reason, and all faults of a file are reported together.
+// Package inifile reads INI files strictly. Every problem is reported with file, line, section, key
+// and reason, and all problems of a file are reported together.
 //
-// A file holds comments (# or ; at the start of a line), sections ([name]) and keys (key = value).
-// There are no inline comments, no quoting, no continuation lines and no interpolation. A section
-// or a key that stands twice, an unknown one and a value without its unit are faults.
+// A file consists of comments (# or ; at the start of a line), sections ([name]) and keys (key = value).
+// There are no inline comments, no quoting, no continuation lines and no interpolation. Duplicate
+// sections and keys, unknown sections and keys, and values without their unit are problems.
 package inifile
 
 import (
@@ -13,7 +13,7 @@
 	"strings"
 )
 
-// Problem is one fault of a file.
+// Problem is one error in a file. Line is 0 and Section and Key are empty where they do not apply.
 type Problem struct {
 	File    string
 	Line    int
@@ -22,7 +22,7 @@
 	Reason  string
 }
 
-// String returns the problem in one line.
+// String returns the problem as one line of text.
 func (p Problem) String() string {
 	var b strings.Builder
 	b.WriteString(p.File)
@@ -40,10 +40,10 @@
 	return b.String()
 }
 
-// Problems is the error that holds every fault found, by file and line.
+// Problems is the error that holds every problem found, sorted by file and line.
 type Problems []Problem
 
-// Error returns one line for each problem.
+// Error returns the problems, one on each line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
@@ -52,7 +52,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Report collects problems.
+// Report collects the problems found in one or more files. It is not safe for concurrent use.
 type Report struct {
 	problems Problems
 }
@@ -60,7 +60,7 @@
 // Add adds a problem.
 func (r *Report) Add(p Problem) { r.problems = append(r.problems, p) }
 
-// Err returns the problems found so far as a Problems error, or nil.
+// Err returns the problems added so far as a Problems error, or nil if there are none.
 func (r *Report) Err() error {
 	if len(r.problems) == 0 {
 		return nil
--- a/pkg/inifile/section.go
+++ b/pkg/inifile/section.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Section is one section of a file. Its readers mark keys as known and report bad values; Done
-// reports the keys that no reader has asked for.
+// Section is one section of a file. The methods that return a value report invalid ones. Done reports
+// the keys that none of them has requested. A Section is not safe for concurrent use.
 type Section struct {
 	Name string
 	Line int
@@ -22,20 +22,23 @@
 	malformed bool
 }
 
+// entry is a key of a section with its value and line.
 type entry struct {
 	name  string
 	value string
 	line  int
-	known bool
+	// requested is set once the value has been read. Keys that are never requested are unknown.
+	requested bool
 }
 
-// Kind returns the part of the section's name before the first space, and the rest.
+// Kind splits the section's name at the first space into a kind and a name, as in [group north]. The
+// name is empty if there is no space.
 func (s *Section) Kind() (kind, name string) {
 	kind, name, _ = strings.Cut(s.Name, " ")
 	return kind, strings.TrimSpace(name)
 }
 
-// File returns the name of the file that holds the section.
+// File returns the name of the file that contains the section.
 func (s *Section) File() string { return s.file }
 
 func (s *Section) find(key string) *entry {
@@ -47,7 +50,7 @@
 	return nil
 }
 
-// Fail reports a fault of a key, at the key's line if it is there, else at the section's.
+// Fail reports a problem with a key, at the key's line if the key is present, otherwise at the section's.
 func (s *Section) Fail(key, format string, args ...any) {
 	line := s.Line
 	if e := s.find(key); e != nil {
@@ -59,25 +62,25 @@
 	})
 }
 
-// Done reports every key that no reader has asked for.
+// Done reports as unknown every key whose value has not been requested.
 func (s *Section) Done() {
 	for i := range s.entries {
-		if e := &s.entries[i]; !e.known {
+		if e := &s.entries[i]; !e.requested {
 			s.Fail(e.name, "unknown key")
 		}
 	}
 }
 
-// Has reports whether the key is there.
+// Has reports whether the section contains the key. It does not count as a request for the value.
 func (s *Section) Has(key string) bool { return s.find(key) != nil }
 
-// value returns the key's value. An empty value is a fault.
+// value returns the key's value and whether there is one. It reports an empty value as a problem.
 func (s *Section) value(key string) (string, bool) {
 	e := s.find(key)
 	if e == nil {
 		return "", false
 	}
-	e.known = true
+	e.requested = true
 	if e.value == "" {
 		s.Fail(key, "empty value")
 		return "", false
@@ -85,7 +88,7 @@
 	return e.value, true
 }
 
-// String returns the key's value, or fallback if the key is absent.
+// String returns the key's value, or fallback if the key is absent or has no value.
 func (s *Section) String(key, fallback string) string {
 	if v, ok := s.value(key); ok {
 		return v
@@ -93,7 +96,7 @@
 	return fallback
 }
 
-// Required returns the key's value and reports its absence.
+// Required returns the key's value, and reports a problem if the key is absent.
 func (s *Section) Required(key string) string {
 	if !s.Has(key) {
 		s.Fail(key, "missing key")
@@ -102,7 +105,8 @@
 	return s.String(key, "")
 }
 
-// Word returns the key's value, which must be one of the words, or fallback if the key is absent.
+// Word returns the key's value, which must be one of the words, or fallback if the key is absent or its
+// value is invalid.
 func (s *Section) Word(key, fallback string, words ...string) string {
 	v, ok := s.value(key)
 	if !ok {
@@ -117,18 +121,19 @@
 	return fallback
 }
 
-// URL returns the key's value, which must be an HTTP URL whose host is an IP address with a port,
-// without user, query and fragment. It reports the key's absence.
+// URL returns the key's value, which must be an HTTP or HTTPS URL whose host is an IP address with a
+// port, without user, query and fragment. It reports a problem if the key is absent.
 func (s *Section) URL(key string) string {
 	v := s.Required(key)
-	if v != "" && !urlByIP(v) {
+	if v != "" && !isURLByIP(v) {
 		s.Fail(key, "%q is not a URL by IP, such as http://10.0.0.9:9000", v)
 		return ""
 	}
 	return v
 }
 
-func urlByIP(v string) bool {
+// isURLByIP reports whether v meets the conditions of Section.URL.
+func isURLByIP(v string) bool {
 	u, err := url.Parse(v)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" {
 		return false
@@ -140,7 +145,8 @@
 	return err == nil
 }
 
-// List returns the comma-separated values of the key. Empty and repeated ones are faults.
+// List returns the comma-separated values of the key, or nil if the key is absent or has no value. It
+// reports empty and duplicate items as problems.
 func (s *Section) List(key string) []string {
 	v, ok := s.value(key)
 	if !ok {
@@ -154,12 +160,13 @@
 	return items
 }
 
-// manyItems is the length above which repeated items are looked for with a set.
-const manyItems = 16
+// maxItemsWithoutSet is the length up to which duplicates are found by comparing items with each other.
+// Longer lists are checked with a set.
+const maxItemsWithoutSet = 16
 
 func (s *Section) checkItems(key string, items []string) {
 	var seen map[string]bool
-	if len(items) > manyItems {
+	if len(items) > maxItemsWithoutSet {
 		seen = make(map[string]bool, len(items))
 	}
 	for i, item := range items {
@@ -185,12 +192,12 @@
 	return false
 }
 
-// Bool returns true or false, or fallback if the key is absent.
+// Bool returns true or false, or fallback if the key is absent or its value is invalid.
 func (s *Section) Bool(key string, fallback bool) bool {
 	return s.Word(key, strconv.FormatBool(fallback), "true", "false") == "true"
 }
 
-// Int returns an integer between low and high, or fallback if the key is absent.
+// Int returns an integer from low to high, or fallback if the key is absent or its value is invalid.
 func (s *Section) Int(key string, fallback, low, high int64) int64 {
 	v, ok := s.value(key)
 	if !ok {
@@ -208,21 +215,22 @@
 	return n
 }
 
-// Float returns a number between low and high, or fallback if the key is absent.
+// Float returns a number from low to high, or fallback if the key is absent or its value is invalid.
 func (s *Section) Float(key string, fallback, low, high float64) float64 {
 	v, ok := s.value(key)
 	if !ok {
 		return fallback
 	}
-	n, err := parseFloat(v)
+	n, err := parseFinite(v)
 	if err != nil {
 		s.Fail(key, "%q is not a number", v)
 		return fallback
 	}
-	return s.within(key, n, fallback, low, high)
+	return s.checkRange(key, n, fallback, low, high)
 }
 
-func (s *Section) within(key string, n, fallback, low, high float64) float64 {
+// checkRange returns n if it lies between low and high. Otherwise it reports a problem and returns fallback.
+func (s *Section) checkRange(key string, n, fallback, low, high float64) float64 {
 	if n < low || n > high {
 		s.Fail(key, "%s is not between %s and %s", FormatFloat(n), FormatFloat(low), FormatFloat(high))
 		return fallback
@@ -230,7 +238,7 @@
 	return n
 }
 
-// Duration returns a duration between low and high, or fallback if the key is absent.
+// Duration returns a duration from low to high, or fallback if the key is absent or its value is invalid.
 func (s *Section) Duration(key string, fallback, low, high time.Duration) time.Duration {
 	v, ok := s.value(key)
 	if !ok {
@@ -248,7 +256,7 @@
 	return d
 }
 
-// Bytes returns a size between low and high bytes, or fallback if the key is absent.
+// Bytes returns a size from low to high bytes, or fallback if the key is absent or its value is invalid.
 func (s *Section) Bytes(key string, fallback, low, high int64) int64 {
 	v, ok := s.value(key)
 	if !ok {
@@ -266,7 +274,8 @@
 	return n
 }
 
-// Rate returns a rate a second between low and high, or fallback if the key is absent.
+// Rate returns a rate per second from low to high, or fallback if the key is absent or its value is
+// invalid.
 func (s *Section) Rate(key string, fallback, low, high float64) float64 {
 	v, ok := s.value(key)
 	if !ok {
@@ -277,10 +286,11 @@
 		s.Fail(key, "%s", err)
 		return fallback
 	}
-	return s.within(key, n, fallback, low, high)
+	return s.checkRange(key, n, fallback, low, high)
 }
 
-func parseFloat(v string) (float64, error) {
+// parseFinite parses a number and rejects NaN and infinities.
+func parseFinite(v string) (float64, error) {
 	n, err := strconv.ParseFloat(v, 64)
 	if err == nil && (math.IsNaN(n) || math.IsInf(n, 0)) {
 		err = strconv.ErrRange
@@ -288,7 +298,7 @@
 	return n, err
 }
 
-// NewSection returns an empty section, which stands for one that the file leaves out.
+// NewSection returns an empty section. It is used for a section that the file does not contain.
 func NewSection(file, name string, report *Report) *Section {
 	return &Section{Name: name, file: file, report: report}
 }
--- a/pkg/inifile/units.go
+++ b/pkg/inifile/units.go
@@ -17,13 +17,15 @@
 	return d, nil
 }
 
-type unit struct {
+// byteUnit is a unit of size; factor is its number of bytes.
+type byteUnit struct {
 	suffix string
 	factor int64
 }
 
-// byteUnits is ordered from the largest, so that a size is written in the largest unit that fits.
-var byteUnits = []unit{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
+// byteUnits is ordered from the largest to the smallest unit, because FormatBytes uses the first unit
+// that fits and ParseBytes must try "B", the suffix of all others, last.
+var byteUnits = []byteUnit{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
 // ParseBytes parses a size with its unit, one of B, KiB, MiB and GiB.
 func ParseBytes(v string) (int64, error) {
@@ -41,7 +43,7 @@
 	return 0, errors.Errorf("%q is not a size with unit, such as 512B, 64KiB or 8MiB", v)
 }
 
-// FormatBytes writes a size in the largest unit that holds it whole.
+// FormatBytes formats a size in the largest unit of which it is a whole multiple.
 func FormatBytes(n int64) string {
 	for _, u := range byteUnits {
 		if n >= u.factor && n%u.factor == 0 {
@@ -58,7 +60,7 @@
 	secondsPerMinute = 60
 )
 
-// ParseRate parses a rate with its unit, /s or /min, into a number a second.
+// ParseRate parses a rate with its unit, /s or /min, and returns it per second.
 func ParseRate(v string) (float64, error) {
 	divisor := 1.0
 	digits, ok := strings.CutSuffix(v, perSecond)
@@ -66,15 +68,16 @@
 		divisor = secondsPerMinute
 		digits, ok = strings.CutSuffix(v, perMinute)
 	}
-	n, err := parseFloat(strings.TrimSpace(digits))
+	n, err := parseFinite(strings.TrimSpace(digits))
 	if !ok || err != nil || n < 0 {
 		return 0, errors.Errorf("%q is not a rate with unit, such as 5/s or 300/min", v)
 	}
 	return n / divisor, nil
 }
 
-// FormatRate writes a rate a second so that ParseRate returns the same number.
+// FormatRate formats a rate per second so that ParseRate returns the same number.
 func FormatRate(n float64) string { return FormatFloat(n) + perSecond }
 
-// FormatFloat writes a number in the shortest form that parses to the same number.
+// FormatFloat formats a number in the shortest decimal form, without exponent, that parses to the same
+// number.
 func FormatFloat(n float64) string { return strconv.FormatFloat(n, 'f', -1, 64) }
