--- a/pkg/settings/kinds.go
+++ b/pkg/settings/kinds.go
@@ -13,28 +13,36 @@
 	"github.com/mallowlink/mallowlink/pkg/inifile"
 )
 
-const none = "none"
+// noDefault is the default text of an optional key without a default value.
+const noDefault = "none"
 
-func text(section, key, doc string, at func(*Settings) *string) field {
+// The functions below return the fields for the kinds of values. The target function returns the setting
+// that the value is stored in.
+
+// textField returns a field for a required key with any text as its value.
+func textField(section, key, doc string, target func(*Settings) *string) field {
 	read := func(r *reader, f field, s *Settings) {
-		*at(s) = r.section(f.section).Required(f.key)
+		*target(s) = r.section(f.section).Required(f.key)
 	}
 	return field{section, key, "text", "required", doc, read}
 }
 
-func address(key, fallback, doc string, at func(*Settings) *string) field {
+// addressField returns a field for an IP address and port in the section listen.
+func addressField(key, fallback, doc string, target func(*Settings) *string) field {
 	read := func(r *reader, f field, s *Settings) {
 		section := r.section(f.section)
 		v := section.String(f.key, fallback)
 		if _, err := netip.ParseAddrPort(v); err != nil {
 			section.Fail(f.key, "%q is not an IP address and port, such as 127.0.0.1:8080", v)
 		}
-		*at(s) = v
+		*target(s) = v
 	}
 	return field{"listen", key, "IP:port", fallback, doc, read}
 }
 
-func file(key, doc string, at func(*Settings) *string) field {
+// fileField returns a field for an optional file name in the section tls. The file must exist; relative
+// names are relative to the directory of the settings file.
+func fileField(key, doc string, target func(*Settings) *string) field {
 	read := func(r *reader, f field, s *Settings) {
 		section := r.section(f.section)
 		v := section.String(f.key, "")
@@ -47,26 +55,29 @@
 		if info, err := os.Stat(v); err != nil || info.IsDir() {
 			section.Fail(f.key, "file %s is missing or not readable", v)
 		}
-		*at(s) = v
+		*target(s) = v
 	}
-	return field{"tls", key, "file", none, doc, read}
+	return field{"tls", key, "file", noDefault, doc, read}
 }
 
-func serviceURL(key, doc string, at func(*Settings) *string) field {
+// urlField returns a field for a required URL in the section platform. A trailing slash is removed,
+// because paths are appended to the URL.
+func urlField(key, doc string, target func(*Settings) *string) field {
 	read := func(r *reader, f field, s *Settings) {
-		*at(s) = strings.TrimSuffix(r.section(f.section).URL(f.key), "/")
+		*target(s) = strings.TrimSuffix(r.section(f.section).URL(f.key), "/")
 	}
 	return field{"platform", key, "URL by IP", "required", doc, read}
 }
 
-func duration(section, key string, fallback time.Duration, doc string, at func(*Settings) *time.Duration) field {
+// durationField returns a field for a duration from 1 ms to maxDuration.
+func durationField(section, key string, fallback time.Duration, doc string, target func(*Settings) *time.Duration) field {
 	read := func(r *reader, f field, s *Settings) {
-		*at(s) = r.section(f.section).Duration(f.key, fallback, time.Millisecond, maxDuration)
+		*target(s) = r.section(f.section).Duration(f.key, fallback, time.Millisecond, maxDuration)
 	}
 	return field{section, key, "duration", formatDuration(fallback), doc, read}
 }
 
-// formatDuration writes a duration without trailing zero units.
+// formatDuration formats a duration without trailing zero units, so that 10m0s becomes 10m.
 func formatDuration(d time.Duration) string {
 	v := d.String()
 	if strings.HasSuffix(v, "m0s") {
@@ -78,28 +89,32 @@
 	return v
 }
 
-func size(key string, fallback int64, doc string, at func(*Settings) *int64) field {
+// sizeField returns a field for a number of bytes, from 1 to maxBytes, in the section limits.
+func sizeField(key string, fallback int64, doc string, target func(*Settings) *int64) field {
 	read := func(r *reader, f field, s *Settings) {
-		*at(s) = r.section(f.section).Bytes(f.key, fallback, 1, maxBytes)
+		*target(s) = r.section(f.section).Bytes(f.key, fallback, 1, maxBytes)
 	}
 	return field{"limits", key, "size", inifile.FormatBytes(fallback), doc, read}
 }
 
-func count(section, key string, fallback int64, doc string, at func(*Settings) *int) field {
+// countField returns a field for an integer from 1 to maxCount.
+func countField(section, key string, fallback int64, doc string, target func(*Settings) *int) field {
 	read := func(r *reader, f field, s *Settings) {
-		*at(s) = int(r.section(f.section).Int(f.key, fallback, 1, maxCount))
+		*target(s) = int(r.section(f.section).Int(f.key, fallback, 1, maxCount))
 	}
 	return field{section, key, "count", strconv.FormatInt(fallback, 10), doc, read}
 }
 
-func word(key, fallback string, words []string, doc string, at func(*Settings) *string) field {
+// enumField returns a field in the section log whose value must be one of the options.
+func enumField(key, fallback string, options []string, doc string, target func(*Settings) *string) field {
 	read := func(r *reader, f field, s *Settings) {
-		*at(s) = r.section(f.section).Word(f.key, fallback, words...)
+		*target(s) = r.section(f.section).Word(f.key, fallback, options...)
 	}
-	return field{"log", key, strings.Join(words, ", "), fallback, doc, read}
+	return field{"log", key, strings.Join(options, ", "), fallback, doc, read}
 }
 
-func signers() field {
+// signersField returns the field for the list of Ed25519 public keys of the bundle's signers.
+func signersField() field {
 	read := func(r *reader, f field, s *Settings) {
 		section := r.section(f.section)
 		section.Required(f.key)
--- a/pkg/settings/reader.go
+++ b/pkg/settings/reader.go
@@ -8,10 +8,12 @@
 
 // reader reads the fields from the sections of one file.
 type reader struct {
-	path     string
+	path string
+	// sections holds every section of the file, and an empty one for each known section not in the file.
 	sections map[string]*inifile.Section
 }
 
+// newReader parses the file. Of duplicate sections, which Parse reports, it keeps the first.
 func newReader(path string, data []byte, report *inifile.Report) *reader {
 	r := &reader{path: path, sections: map[string]*inifile.Section{}}
 	for _, section := range inifile.Parse(path, data, report).Sections {
@@ -29,7 +31,8 @@
 
 func (r *reader) section(name string) *inifile.Section { return r.sections[name] }
 
-func (r *reader) read() Settings {
+// readFields reads every field, and reports unknown sections and keys.
+func (r *reader) readFields() Settings {
 	var s Settings
 	known := map[string]bool{}
 	for _, f := range fields() {
@@ -46,13 +49,13 @@
 	return s
 }
 
-// check reports values that do not go together.
-func (r *reader) check(s *Settings) {
+// checkConsistency reports values that contradict each other.
+func (r *reader) checkConsistency(s *Settings) {
 	if n := len(s.Bundle.Signers); n > 0 && s.Bundle.Required > n {
 		r.section("bundle").Fail("required-signers", "%d are required, but there are %d signers", s.Bundle.Required, n)
 	}
-	if s.Bundle.Poll > MaxPoll {
-		r.section("bundle").Fail("poll", "%s is more than %s", s.Bundle.Poll, MaxPoll)
+	if s.Bundle.Poll > MaxBundlePoll {
+		r.section("bundle").Fail("poll", "%s is more than %s", s.Bundle.Poll, MaxBundlePoll)
 	}
 	if s.Timeouts.Silence <= s.Timeouts.Heartbeat {
 		r.section("timeouts").Fail("silence", "must be longer than heartbeat")
@@ -77,7 +80,8 @@
 	}
 }
 
-// sameAddress reports whether two listeners would clash. Port 0 lets the system choose.
+// sameAddress reports whether two listeners would use the same address and port. Two addresses with port
+// 0 do not conflict, because the operating system chooses a free port for each.
 func sameAddress(a, b string) bool {
 	address, err := netip.ParseAddrPort(a)
 	return err == nil && a == b && address.Port() != 0
@@ -92,12 +96,12 @@
 	if set != (s.TLS.PeerKey != "") || set != (s.TLS.PeerCA != "") {
 		tls.Fail("peer-cert", "peer-cert, peer-key and peer-ca go together")
 	}
-	if !set && !loopback(s.Listen.Peer) {
+	if !set && !isLoopback(s.Listen.Peer) {
 		tls.Fail("peer-cert", "required, because the peer listener %s is not on loopback", s.Listen.Peer)
 	}
 }
 
-func loopback(address string) bool {
+func isLoopback(address string) bool {
 	a, err := netip.ParseAddrPort(address)
 	return err == nil && a.Addr().IsLoopback()
 }
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -13,9 +13,9 @@
 	"github.com/mallowlink/mallowlink/pkg/inifile"
 )
 
-const signer = "d75a980182b10ab7d54bfed3c964073a0ee172f3daa62325af021a68f707511a"
+const signerKey = "d75a980182b10ab7d54bfed3c964073a0ee172f3daa62325af021a68f707511a"
 
-const minimal = `[vm]
+const minimalSettings = `[vm]
 id = vm-1
 failure-domain = howrah
 [platform]
@@ -23,11 +23,11 @@
 objects = http://127.0.0.1:9002
 vms = http://127.0.0.1:9003
 [bundle]
-signers = ` + signer + "\n"
+signers = ` + signerKey + "\n"
 
 func TestLoadFillsInDefaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "vm.ini")
-	require.NoError(t, os.WriteFile(path, []byte(minimal), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(minimalSettings), 0o600))
 	s, err := Load(path)
 	require.NoError(t, err)
 	require.Equal(t, "vm-1", s.VM.ID)
@@ -35,18 +35,18 @@
 	require.Len(t, s.Bundle.Signers, 1)
 	s.VM, s.Platform, s.Bundle.Signers = VM{}, Platform{}, nil
 	require.Equal(t, Default(), s)
-	require.Equal(t, DefaultDrain, s.Timeouts.Drain)
+	require.Equal(t, DefaultDrainTimeout, s.Timeouts.Drain)
 }
 
-func TestLoadNamesAMissingFile(t *testing.T) {
+func TestLoadReportsMissingFile(t *testing.T) {
 	_, err := Load(filepath.Join(t.TempDir(), "none.ini"))
 	_, ok := errors.Into[*Error](err)
 	require.True(t, ok)
 	require.ErrorContains(t, err, "none.ini")
 }
 
-func TestParseReportsEveryFault(t *testing.T) {
-	text := strings.Replace(minimal, signer, signer[2:], 1) + `required-signers = 0
+func TestParseReportsEveryProblem(t *testing.T) {
+	text := strings.Replace(minimalSettings, signerKey, signerKey[2:], 1) + `required-signers = 0
 poll = 3s
 [listen]
 callers = localhost:8080
@@ -85,8 +85,8 @@
 /etc/vm.ini:26: [bogus] unknown section`)
 }
 
-func TestListenersMayShareThePortThatTheSystemChooses(t *testing.T) {
-	_, err := Parse("vm.ini", []byte(minimal+"[listen]\ncallers = 127.0.0.1:0\npeer = 127.0.0.1:0\nadmin = 127.0.0.1:0\n"))
+func TestListenersMayAllUsePortZero(t *testing.T) {
+	_, err := Parse("vm.ini", []byte(minimalSettings+"[listen]\ncallers = 127.0.0.1:0\npeer = 127.0.0.1:0\nadmin = 127.0.0.1:0\n"))
 	require.NoError(t, err)
 }
 
@@ -96,29 +96,31 @@
 	require.Contains(t, string(doc), Markdown())
 }
 
+// Writes every default as documented into a settings file: all of them must parse and be within their
+// bounds.
 func TestDefaultsAreWithinBounds(t *testing.T) {
 	var text strings.Builder
-	text.WriteString(strings.TrimSuffix(minimal, "signers = "+signer+"\n"))
+	text.WriteString(strings.TrimSuffix(minimalSettings, "signers = "+signerKey+"\n"))
 	section := "bundle"
 	for _, f := range fields() {
-		if f.fallback == "required" || f.fallback == none {
+		if f.defaultText == "required" || f.defaultText == noDefault {
 			continue
 		}
 		if f.section != section {
 			section = f.section
 			text.WriteString("[" + section + "]\n")
 		}
-		text.WriteString(f.key + " = " + f.fallback + "\n")
+		text.WriteString(f.key + " = " + f.defaultText + "\n")
 	}
 	body := strings.Replace(text.String(), "[bundle]\n[", "[", 1)
-	body = strings.Replace(body, "[bundle]\n", "[bundle]\nsigners = "+signer+"\n", 1)
+	body = strings.Replace(body, "[bundle]\n", "[bundle]\nsigners = "+signerKey+"\n", 1)
 	s, err := Parse("vm.ini", []byte(body))
 	require.NoError(t, err, body)
 	require.Equal(t, 10*time.Minute, s.Timeouts.Drain)
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(minimal))
+	f.Add([]byte(minimalSettings))
 	f.Add([]byte("[tls]\npeer-ca = ../x\n[listen]\npeer = [::1]:1\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := Parse("vm.ini", data)
