--- a/pkg/daemon/command/command.go
+++ b/pkg/daemon/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of mallowlinkd.
+// Package command implements the command line of mallowlinkd.
 package command
 
 import (
@@ -26,13 +26,14 @@
 	exitFailure = 1
 )
 
-// errFailed says that a part of the daemon failed; the log has the cause.
-var errFailed = errors.New("a part of the daemon failed")
+// errComponentFailed is returned when a component of the daemon has failed. The cause is in the log.
+var errComponentFailed = errors.New("a component of the daemon failed; see its log")
 
-// errCut says that a second signal ended the daemon before it was drained.
-var errCut = errors.New("stopped before it was drained")
+// errForcedStop is returned when a second signal has ended the daemon before it was drained.
+var errForcedStop = errors.New("stopped before it was drained")
 
-// Execute runs the command line and returns the exit status: 2 if the settings are not valid.
+// Execute runs the command line and returns the exit status, which is settings.ExitCode for invalid
+// settings.
 func Execute(args []string, stdout, stderr io.Writer) int {
 	root := NewCommand()
 	root.SetArgs(args)
@@ -96,6 +97,7 @@
 	return cmd
 }
 
+// checkNodeFile checks the settings file that the users' platform provides for the gateway.
 func checkNodeFile(cmd *cobra.Command, path string) error {
 	vm, err := platform.Check(path)
 	if err != nil {
@@ -107,7 +109,7 @@
 
 func newRunCommand() *cobra.Command {
 	var path string
-	var alone bool
+	var runsStandalone bool
 	var opts standalone.Options
 	cmd := &cobra.Command{
 		Use:   "run",
@@ -117,14 +119,14 @@
 		Example: "  mallowlinkd run --config /etc/mallowlink/vm.ini\n  mallowlinkd run --standalone",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if alone {
+			if runsStandalone {
 				return runStandalone(cmd, opts)
 			}
 			return runDaemon(path, cmd.OutOrStdout())
 		},
 	}
 	cmd.Flags().StringVar(&path, "config", "", "settings file")
-	cmd.Flags().BoolVar(&alone, "standalone", false, "run with stand-ins for everything around, on loopback")
+	cmd.Flags().BoolVar(&runsStandalone, "standalone", false, "run with stand-ins for everything around, on loopback")
 	cmd.Flags().StringVar(&opts.Callers, "listen", "", "callers' address with --standalone (default: a free port of loopback)")
 	cmd.Flags().StringVar(&opts.LogLevel, "log-level", "warning", "log level with --standalone")
 	cmd.MarkFlagsOneRequired("config", "standalone")
@@ -139,7 +141,7 @@
 		Short: "Run on the users' platform until SIGTERM, dispatching requests directly to endpoints",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			signals := notify()
+			signals := notifyStopSignals()
 			hangups := make(chan os.Signal, 1)
 			signal.Notify(hangups, syscall.SIGHUP)
 			opts.Log = cmd.OutOrStdout()
@@ -163,7 +165,7 @@
 	return cmd
 }
 
-// stoppable is what runs until a signal.
+// stoppable is a service that runs until it is stopped or fails.
 type stoppable interface {
 	Failed() <-chan struct{}
 	Stop(ctx context.Context) error
@@ -178,7 +180,7 @@
 	if err != nil {
 		return err
 	}
-	signals := notify()
+	signals := notifyStopSignals()
 	if err := d.Start(context.Background()); err != nil {
 		return err
 	}
@@ -186,7 +188,7 @@
 }
 
 func runStandalone(cmd *cobra.Command, opts standalone.Options) error {
-	signals := notify()
+	signals := notifyStopSignals()
 	system, err := standalone.Start(cmd.Context(), opts)
 	if err != nil {
 		return err
@@ -195,19 +197,22 @@
 	return untilSignal(system, signals)
 }
 
-func notify() <-chan os.Signal {
+// notifyStopSignals returns a channel for the signals that stop the process. It has room for two, because
+// a second signal forces the stop.
+func notifyStopSignals() <-chan os.Signal {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	return signals
 }
 
-// untilSignal stops the process at the first signal, and cuts what still runs at the second.
+// untilSignal stops the service at the first signal or when it fails. At the second signal it cuts the
+// requests that still run.
 func untilSignal(s stoppable, signals <-chan os.Signal) error {
 	var failure error
 	select {
 	case <-signals:
 	case <-s.Failed():
-		failure = errFailed
+		failure = errComponentFailed
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -221,17 +226,17 @@
 		return failure
 	case <-signals:
 		cancel()
-		return awaitCut(stopped)
+		return awaitForcedStop(stopped)
 	}
 }
 
-// cutTimeout bounds the wait for a daemon that was told to cut what still runs.
-const cutTimeout = 5 * time.Second
+// forcedStopTimeout bounds the wait for a daemon to close after a second signal.
+const forcedStopTimeout = 5 * time.Second
 
-func awaitCut(stopped <-chan error) error {
+func awaitForcedStop(stopped <-chan error) error {
 	select {
 	case <-stopped:
-	case <-time.After(cutTimeout):
+	case <-time.After(forcedStopTimeout):
 	}
-	return errCut
+	return errForcedStop
 }
--- a/pkg/daemon/command/command_test.go
+++ b/pkg/daemon/command/command_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBadSettingsAreNamedWithExitStatusTwo(t *testing.T) {
+func TestInvalidSettingsExitWithStatusTwo(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "vm.ini")
 	require.NoError(t, os.WriteFile(path, []byte("[vm]\nid = a\ncolour = red\n"), 0o600))
 	for _, command := range []string{"check", "run"} {
@@ -30,13 +30,13 @@
 	}
 }
 
-func TestRunNeedsOneSource(t *testing.T) {
+func TestRunRequiresConfigOrStandalone(t *testing.T) {
 	var out, errs bytes.Buffer
 	require.Equal(t, 1, Execute([]string{"run"}, &out, &errs))
 	require.Contains(t, errs.String(), "standalone")
 }
 
-func TestCheckOfThePlatformsSettings(t *testing.T) {
+func TestCheckNodeFileReportsProblems(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.conf")
 	require.NoError(t, os.WriteFile(path, []byte("node_name=edge-1\nip=10.0.0.1\nport_range=7600\n"), 0o600))
 	var out, errs bytes.Buffer
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires the parts of one VM's process together with fx, starts them in order and
-// stops them without cutting a request.
+// Package daemon builds the components of one VM's process with fx, starts them in order, and drains
+// them when it stops, so that requests can end first.
 package daemon
 
 import (
@@ -23,20 +23,22 @@
 )
 
 const (
-	// startTimeout bounds the start of all parts.
+	// startTimeout bounds the start of all components.
 	startTimeout = 15 * time.Second
-	// stopGrace is added to the drain time for closing what is left.
-	stopGrace = 10 * time.Second
+	// stopGracePeriod is added to the balancer wait and the drain timeout, for closing the components
+	// afterwards.
+	stopGracePeriod = 10 * time.Second
 )
 
-// Addresses are where a daemon listens.
+// Addresses are the addresses, as IP and port, that a daemon listens on for callers, other VMs and
+// operators.
 type Addresses struct {
 	Callers string
 	Peer    string
 	Admin   string
 }
 
-// Daemon is one VM's process.
+// Daemon is the process that runs on one VM.
 type Daemon struct {
 	app       *fx.App
 	addresses Addresses
@@ -44,7 +46,7 @@
 	process   *process
 }
 
-// New builds a daemon that logs to out, and binds its listeners. Nothing runs until Start.
+// New builds a daemon that logs to out, and binds its listeners. No component runs before Start.
 func New(s settings.Settings, out io.Writer) (*Daemon, error) {
 	d := &Daemon{}
 	d.app = fx.New(
@@ -52,30 +54,31 @@
 		fx.Provide(func() io.Writer { return out }),
 		fx.NopLogger,
 		fx.StartTimeout(startTimeout),
-		fx.StopTimeout(s.Timeouts.BalancerWait+s.Timeouts.Drain+stopGrace),
+		fx.StopTimeout(s.Timeouts.BalancerWait+s.Timeouts.Drain+stopGracePeriod),
 		providers(),
-		fx.Invoke(connectListeners, registerServices, watchBundle, startProcess),
+		fx.Invoke(connectLeaseListeners, registerServices, connectCallbacks, startProcess),
 		fx.Invoke(d.attach),
 	)
 	if err := d.app.Err(); err != nil {
-		return nil, errors.Wrap(err, "daemon")
+		return nil, errors.Wrap(err, "build daemon")
 	}
 	return d, nil
 }
 
-// providers lists the constructors of all parts.
+// providers returns the constructors of all components.
 func providers() fx.Option {
 	return fx.Provide(
-		newIdentity, newListeners, newLogger, newMetrics, newBackground,
+		newIdentity, newListeners, newLogger, newMetrics, newBackgroundContext,
 		newPeerTLS, newCallerTLS, newPools, newPeerServer,
 		newTable, newObjectStore, newVMLister, newConnector,
-		newMembership, newFollower, newListenerSet, newLeases,
+		newMembership, newFollower, newLeaseListeners, newLeases,
 		newQuotas, newBudgets, newSuspectTable, newAnnouncer,
-		newOwner, newDirectory, newLedger, newMemory, newRequests, newHandler,
+		newOwner, newDirectory, newLedger, newMemoryBudget, newRequests, newHandler,
 		newAdmin, newProcess,
 	)
 }
 
+// attach is invoked by fx with the components that the methods of Daemon use.
 func (d *Daemon) attach(l *listeners, p *process) {
 	d.addresses = Addresses{
 		Callers: l.Callers.Addr().String(),
@@ -86,36 +89,38 @@
 	d.ready = p.ready
 }
 
-// Addresses returns where the daemon listens.
+// Addresses returns the addresses that the daemon listens on, with the actual ports.
 func (d *Daemon) Addresses() Addresses { return d.addresses }
 
-// Ready says why the daemon cannot answer callers yet, or nil.
+// Ready returns nil if the daemon can serve callers, otherwise an error with the reason.
 func (d *Daemon) Ready() error { return d.ready() }
 
-// Start starts every part.
+// Start starts all components.
 func (d *Daemon) Start(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, d.app.StartTimeout())
 	defer cancel()
 	return d.app.Start(ctx)
 }
 
-// Stop drains the daemon and ends it. When ctx ends first, what still runs is cut.
+// Stop drains the daemon and closes all components. If ctx ends before the daemon is drained, the
+// requests that still run are cut.
 func (d *Daemon) Stop(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, d.app.StopTimeout())
 	defer cancel()
 	return d.app.Stop(ctx)
 }
 
-// Failed is closed when a part has failed and the daemon must be stopped.
+// Failed returns a channel that is closed when a component has failed and the daemon must be stopped.
 func (d *Daemon) Failed() <-chan struct{} { return d.process.failed }
 
-// connectListeners tells every part that acts under leases of leases gained and lost.
-func connectListeners(set *listenerSet, o *owner.Owner, q quotas, b budgets) {
-	set.parts = []lease.Listener{o, q.home, b.home}
+// connectLeaseListeners sets the components that are notified of leases gained and lost, and the source of
+// the state that is passed on to the next holder of a lease.
+func connectLeaseListeners(set *leaseListeners, o *owner.Owner, q quotas, b budgets) {
+	set.listeners = []lease.Listener{o, q.home, b.home}
 	set.state = q.home.State
 }
 
-// registerServices offers this VM's services to the other VMs.
+// registerServices registers the RPC services that this VM provides to the other VMs.
 func registerServices(server *peer.Server, id identity, members *membership.Registry, leases *lease.Manager, follower *rollout.Follower, q quotas, b budgets, o *owner.Owner, table *suspect.Table) error {
 	services := []struct {
 		name     string
@@ -137,8 +142,9 @@
 	return nil
 }
 
-// watchBundle passes a new bundle on and completes what heartbeats say.
-func watchBundle(members *membership.Registry, leases *lease.Manager, follower *rollout.Follower, o *owner.Owner, p *process) {
+// connectCallbacks sets the source of the status that heartbeats carry. It has the lease manager woken
+// by membership changes, and the owner and the lease manager notified of a new bundle.
+func connectCallbacks(members *membership.Registry, leases *lease.Manager, follower *rollout.Follower, o *owner.Owner, p *process) {
 	members.SetStatus(func() membership.Status {
 		storeDown, leaseSeen, claims := leases.Status()
 		return membership.Status{
--- a/pkg/daemon/fleet.go
+++ b/pkg/daemon/fleet.go
@@ -35,39 +35,39 @@
 	})
 }
 
-// listenerSet passes leases gained and lost on to every part that acts under leases. Parts are
-// added before the lease manager runs.
-type listenerSet struct {
-	parts []lease.Listener
-	// state returns what the holder of a lease passes on to the next one.
+// leaseListeners notifies several listeners of leases gained and lost. The lease manager is built before
+// the components that listen, so that connectLeaseListeners sets the fields, before the manager runs.
+type leaseListeners struct {
+	listeners []lease.Listener
+	// state returns the data that this VM passes on to the next holder of a lease.
 	state func(name string) []byte
 }
 
-func newListenerSet() *listenerSet { return &listenerSet{} }
+func newLeaseListeners() *leaseListeners { return &leaseListeners{} }
 
 // LeaseGained implements lease.Listener.
-func (s *listenerSet) LeaseGained(grant lease.Grant) {
-	for _, part := range s.parts {
-		part.LeaseGained(grant)
+func (s *leaseListeners) LeaseGained(grant lease.Grant) {
+	for _, listener := range s.listeners {
+		listener.LeaseGained(grant)
 	}
 }
 
 // LeaseLost implements lease.Listener.
-func (s *listenerSet) LeaseLost(name string) {
-	for _, part := range s.parts {
-		part.LeaseLost(name)
+func (s *leaseListeners) LeaseLost(name string) {
+	for _, listener := range s.listeners {
+		listener.LeaseLost(name)
 	}
 }
 
 // handoverState implements lease.Config.State.
-func (s *listenerSet) handoverState(name string) []byte {
+func (s *leaseListeners) handoverState(name string) []byte {
 	if s.state == nil {
 		return nil
 	}
 	return s.state(name)
 }
 
-func newLeases(s settings.Settings, id identity, l *listeners, table platform.Table, members *membership.Registry, follower *rollout.Follower, p pools, set *listenerSet, log logrus.FieldLogger) *lease.Manager {
+func newLeases(s settings.Settings, id identity, l *listeners, table platform.Table, members *membership.Registry, follower *rollout.Follower, p pools, set *leaseListeners, log logrus.FieldLogger) *lease.Manager {
 	return lease.NewManager(lease.Config{
 		ID:          id.VM,
 		Incarnation: id.Incarnation,
@@ -78,7 +78,8 @@
 	}, table, members, p.control, set, log)
 }
 
-// leaseNames returns the leases that the bundle calls for.
+// leaseNames returns the names of the leases that must have a holder under the bundle: one for the
+// fleet-wide load budget, one for each endpoint group and one for each client account.
 func leaseNames(b *bundle.Bundle) []string {
 	if b == nil {
 		return nil
--- a/pkg/daemon/identity.go
+++ b/pkg/daemon/identity.go
@@ -19,7 +19,8 @@
 	"github.com/mallowlink/mallowlink/pkg/settings"
 )
 
-// identity says which process this is.
+// identity identifies this process: its VM and failure domain, and its incarnation, which is new at each
+// start.
 type identity struct {
 	VM            string
 	FailureDomain string
@@ -40,8 +41,8 @@
 	}, nil
 }
 
-// listeners are bound before anything starts, so that a port in use is found at once and a port 0
-// is known to the other parts.
+// listeners holds the bound listeners. They are bound before any component starts, so that a port in use
+// is detected at once, and the port that the system chooses for port 0 is known to the other components.
 type listeners struct {
 	Callers net.Listener
 	Peer    net.Listener
@@ -51,7 +52,7 @@
 func newListeners(s settings.Settings) (*listeners, error) {
 	l := &listeners{}
 	binds := []struct {
-		to      *net.Listener
+		target  *net.Listener
 		address string
 		name    string
 	}{
@@ -65,7 +66,7 @@
 			l.close()
 			return nil, errors.Wrapf(err, "listen for %s", bind.name)
 		}
-		*bind.to = listener
+		*bind.target = listener
 	}
 	return l, nil
 }
@@ -78,11 +79,11 @@
 	}
 }
 
-// newLogger returns the log, and the logger that adds the VM to each line.
+// newLogger returns the event log and a logger that adds the VM's ID to each line.
 func newLogger(s settings.Settings, out io.Writer, registry metrics.Registry) (*eventlog.Log, logrus.FieldLogger, error) {
 	level, err := logrus.ParseLevel(s.Log.Level)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "log level")
+		return nil, nil, errors.Wrap(err, "parse log level")
 	}
 	log := eventlog.New(out, eventlog.Options{Level: level, JSON: s.Log.Format == "json", Metrics: registry})
 	return log, log.WithField("vm", s.VM.ID), nil
@@ -90,7 +91,8 @@
 
 func newMetrics() metrics.Registry { return metrics.NewRegistry() }
 
-// peerTLS is the TLS configuration between VMs.
+// peerTLS is the TLS configuration for connections between VMs. Without a reloader the source returns
+// nil, which means plain TCP.
 type peerTLS struct {
 	source   peer.TLSSource
 	reloader *certs.Reloader
@@ -103,12 +105,12 @@
 	files := certs.Files{Cert: s.TLS.PeerCert, Key: s.TLS.PeerKey, CA: s.TLS.PeerCA}
 	reloader, err := certs.NewReloader(files, s.TLS.Reload, log)
 	if err != nil {
-		return peerTLS{}, errors.Wrap(err, "peer TLS")
+		return peerTLS{}, errors.Wrap(err, "load peer TLS files")
 	}
 	return peerTLS{source: reloader.PeerConfig, reloader: reloader}, nil
 }
 
-// callerTLS is the TLS configuration towards callers; a nil reloader means plain HTTP.
+// callerTLS is the TLS configuration of the callers' listener. A nil reloader means plain HTTP.
 type callerTLS struct {
 	reloader *certs.Reloader
 }
@@ -127,19 +129,19 @@
 	files := certs.Files{Cert: s.TLS.CallersCert, Key: s.TLS.CallersKey}
 	reloader, err := certs.NewReloader(files, s.TLS.Reload, log)
 	if err != nil {
-		return callerTLS{}, errors.Wrap(err, "callers' TLS")
+		return callerTLS{}, errors.Wrap(err, "load callers' TLS files")
 	}
 	return callerTLS{reloader: reloader}, nil
 }
 
-// pools are the connections to other VMs. Control calls have their own, so that they are counted
-// apart and never wait behind answers.
+// pools holds the connection pools for calls to other VMs. Control calls have a pool of their own, so that
+// their traffic is counted separately and they never wait behind responses to requests.
 type pools struct {
 	control *peer.Pool
 	data    *peer.Pool
 }
 
-// Names of the traffic counters.
+// Metric names of the traffic counters.
 const (
 	metricControl = "peer.control"
 	metricData    = "peer.data"
--- a/pkg/daemon/platform.go
+++ b/pkg/daemon/platform.go
@@ -29,7 +29,8 @@
 	return platformrest.NewVMLister(s.Platform.VMs, platformOptions(s, registry))
 }
 
-// connector keeps one client per endpoint URL.
+// connector implements owner.Connector. It keeps one client per endpoint URL and is safe for concurrent
+// use.
 type connector struct {
 	options endpointrest.Options
 
@@ -47,7 +48,7 @@
 	}
 }
 
-// Engine implements owner.Connector. Engines must echo request identifiers.
+// Engine implements owner.Connector. Responses of engines must echo the request identifier.
 func (c *connector) Engine(spec bundle.Endpoint) endpoint.Engine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/daemon/process.go
+++ b/pkg/daemon/process.go
@@ -29,62 +29,63 @@
 )
 
 const (
-	// drainPollInterval is the time between two looks at what is still running.
+	// drainPollInterval is the interval at which a draining process checks for attempts still running.
 	drainPollInterval = 50 * time.Millisecond
-	// handOverTimeout bounds the wait for the table to take a stopping VM's leases back.
+	// handOverTimeout bounds how long a stopping VM waits for the table while it hands over its leases.
 	handOverTimeout = 5 * time.Second
-	// logFlush bounds the wait for the last lines of the log.
-	logFlush = 200 * time.Millisecond
-	// adminHeaderTimeout bounds the header of an operator's request.
+	// logFlushTimeout bounds the wait until the last lines of the log are written.
+	logFlushTimeout = 200 * time.Millisecond
+	// adminHeaderTimeout bounds the time to read the header of an operator's request.
 	adminHeaderTimeout = 5 * time.Second
 )
 
-// parts are what a process runs.
-type parts struct {
+// components are the components of a process, as injected by fx.
+type components struct {
 	fx.In
 
-	Settings  settings.Settings
-	Identity  identity
-	Log       logrus.FieldLogger
-	Lines     *eventlog.Log
-	Metrics   metrics.Registry
-	Listeners *listeners
-	Base      background
-	PeerTLS   peerTLS
-	CallerTLS callerTLS
-	Server    *peer.Server
-	Members   *membership.Registry
-	Leases    *lease.Manager
-	Follower  *rollout.Follower
-	Budgets   budgets
-	Suspects  *suspect.Table
-	Announcer *suspect.PeerAnnouncer
-	Owner     *owner.Owner
-	Ledger    *ledger.Ledger
-	Requests  *request.Service
-	Handler   *entry.Handler
-	Admin     admin
-}
-
-// process runs the parts of a daemon and drains them at the end.
+	Settings   settings.Settings
+	Identity   identity
+	Log        logrus.FieldLogger
+	EventLog   *eventlog.Log
+	Metrics    metrics.Registry
+	Listeners  *listeners
+	Background backgroundContext
+	PeerTLS    peerTLS
+	CallerTLS  callerTLS
+	PeerServer *peer.Server
+	Members    *membership.Registry
+	Leases     *lease.Manager
+	Follower   *rollout.Follower
+	Budgets    budgets
+	Suspects   *suspect.Table
+	Announcer  *suspect.PeerAnnouncer
+	Owner      *owner.Owner
+	Ledger     *ledger.Ledger
+	Requests   *request.Service
+	Handler    *entry.Handler
+	Admin      admin
+}
+
+// process runs the components of a daemon, and drains and closes them when the daemon stops.
 type process struct {
-	parts   parts
-	callers *http.Server
-	admin   *http.Server
-
-	// loops are the goroutines of the parts.
-	loops    sync.WaitGroup
-	draining atomic.Bool
+	components components
+	callers    *http.Server
+	admin      *http.Server
+
+	// goroutines waits for the goroutines that run the components.
+	goroutines sync.WaitGroup
+	draining   atomic.Bool
+	// failed is closed, through failOnce, when a component has failed.
 	failed   chan struct{}
 	failOnce sync.Once
 }
 
-func newProcess(p parts) *process {
+func newProcess(p components) *process {
 	return &process{
-		parts:   p,
-		callers: entry.NewHTTPServer(p.Handler, p.CallerTLS.config()),
-		admin:   &http.Server{Handler: p.Admin.handler, ReadHeaderTimeout: adminHeaderTimeout},
-		failed:  make(chan struct{}),
+		components: p,
+		callers:    entry.NewHTTPServer(p.Handler, p.CallerTLS.config()),
+		admin:      &http.Server{Handler: p.Admin.handler, ReadHeaderTimeout: adminHeaderTimeout},
+		failed:     make(chan struct{}),
 	}
 }
 
@@ -99,72 +100,76 @@
 }
 
 func (p *process) ready() error {
-	if p.parts.Follower.Current() == nil {
+	if p.components.Follower.Current() == nil {
 		return errNoBundle
 	}
 	return nil
 }
 
-// start runs every part. The peer port takes calls first: a connection that it refuses would prove
-// this process gone.
+// start starts all components. The peer listener is served first, because other VMs take a refused
+// connection as proof that this process has ended.
 func (p *process) start() {
-	p.serve("peer", func() error { return p.parts.Server.Serve(p.parts.Listeners.Peer) })
-	p.loop(p.parts.Members.Run)
-	p.loop(func(ctx context.Context) { p.check("bundle", p.parts.Follower.Run(ctx)) })
-	p.loop(p.parts.Leases.Run)
-	p.loop(p.parts.Owner.Run)
-	p.loop(p.parts.Budgets.holder.Run)
-	p.loop(p.parts.Announcer.Run)
-	p.loop(p.fetchSuspects)
-	p.loop(p.sweepRecords)
-	if p.parts.PeerTLS.reloader != nil {
-		p.loop(func(ctx context.Context) { p.check("peer TLS", p.parts.PeerTLS.reloader.Run(ctx)) })
+	p.serve("peer", func() error { return p.components.PeerServer.Serve(p.components.Listeners.Peer) })
+	p.runLoop(p.components.Members.Run)
+	p.runLoop(func(ctx context.Context) { p.reportFailure("bundle", p.components.Follower.Run(ctx)) })
+	p.runLoop(p.components.Leases.Run)
+	p.runLoop(p.components.Owner.Run)
+	p.runLoop(p.components.Budgets.holder.Run)
+	p.runLoop(p.components.Announcer.Run)
+	p.runLoop(p.fetchCrashReports)
+	p.runLoop(p.sweepRecords)
+	if p.components.PeerTLS.reloader != nil {
+		p.runLoop(func(ctx context.Context) { p.reportFailure("peer TLS", p.components.PeerTLS.reloader.Run(ctx)) })
 	}
-	if p.parts.CallerTLS.reloader != nil {
-		p.loop(func(ctx context.Context) { p.check("callers' TLS", p.parts.CallerTLS.reloader.Run(ctx)) })
+	if p.components.CallerTLS.reloader != nil {
+		p.runLoop(func(ctx context.Context) { p.reportFailure("callers' TLS", p.components.CallerTLS.reloader.Run(ctx)) })
 	}
-	p.serve("admin", func() error { return p.admin.Serve(p.parts.Listeners.Admin) })
+	p.serve("admin", func() error { return p.admin.Serve(p.components.Listeners.Admin) })
 	p.serve("callers", p.serveCallers)
-	p.parts.Log.WithFields(logrus.Fields{
+	p.components.Log.WithFields(logrus.Fields{
 		"event":       "started",
-		"incarnation": p.parts.Identity.Incarnation,
-		"callers":     p.parts.Listeners.Callers.Addr().String(),
-		"peer":        p.parts.Listeners.Peer.Addr().String(),
-		"admin":       p.parts.Listeners.Admin.Addr().String(),
-	}).Info("")
+		"incarnation": p.components.Identity.Incarnation,
+		"callers":     p.components.Listeners.Callers.Addr().String(),
+		"peer":        p.components.Listeners.Peer.Addr().String(),
+		"admin":       p.components.Listeners.Admin.Addr().String(),
+	}).Info("daemon started")
 }
 
 func (p *process) serveCallers() error {
-	limited := callers.Limit(p.parts.Listeners.Callers, p.parts.Settings.Limits.Connections, p.parts.Metrics)
+	limited := callers.Limit(p.components.Listeners.Callers, p.components.Settings.Limits.Connections, p.components.Metrics)
 	if p.callers.TLSConfig != nil {
 		return p.callers.ServeTLS(limited, "", "")
 	}
 	return p.callers.Serve(limited)
 }
 
-func (p *process) loop(run func(ctx context.Context)) {
-	p.loops.Go(func() { run(p.parts.Base) })
+// runLoop runs a component in a goroutine until the background context is cancelled.
+func (p *process) runLoop(run func(ctx context.Context)) {
+	p.goroutines.Go(func() { run(p.components.Background) })
 }
 
+// serve runs a server in a goroutine and reports the error that it ends with.
 func (p *process) serve(name string, run func() error) {
-	p.loops.Go(func() { p.check(name, run()) })
+	p.goroutines.Go(func() { p.reportFailure(name, run()) })
 }
 
-// check fails the daemon if a part has ended by an error before the daemon stops.
-func (p *process) check(name string, err error) {
+// reportFailure logs an error that a component has ended with and marks the daemon as failed. It ignores
+// the errors of an ordinary stop.
+func (p *process) reportFailure(name string, err error) {
 	if err == nil || errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) || errors.Is(err, context.Canceled) {
 		return
 	}
-	p.parts.Log.WithFields(logrus.Fields{"event": "part_failed", "part": name, "error": err.Error()}).Error("")
+	p.components.Log.WithFields(logrus.Fields{"event": "part_failed", "part": name, "error": err.Error()}).Error("component failed; the daemon stops")
 	p.failOnce.Do(func() { close(p.failed) })
 }
 
-// fetchSuspects takes over what the peers know of crashing requests, once one of them is live.
-func (p *process) fetchSuspects(ctx context.Context) {
+// fetchCrashReports fetches the crash reports that the peers hold once a peer is live. It tries again every
+// second until one peer has responded.
+func (p *process) fetchCrashReports(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
-		if len(p.parts.Members.Live()) > 1 && p.parts.Announcer.Fetch(ctx, p.parts.Suspects) == nil {
+		if len(p.components.Members.Live()) > 1 && p.components.Announcer.Fetch(ctx, p.components.Suspects) == nil {
 			return
 		}
 		select {
@@ -175,68 +180,71 @@
 	}
 }
 
-// sweepRecords deletes old at-most-once records on the VM that holds the budget lease.
+// sweepRecords deletes old at-most-once records while this VM holds the budget lease, so that only
+// one VM of the fleet does so at a time.
 func (p *process) sweepRecords(ctx context.Context) {
-	ledger.NewSweeper(p.parts.Ledger).Run(ctx, func() bool {
-		_, ok := p.parts.Leases.Held(lease.Budget)
+	ledger.NewSweeper(p.components.Ledger).Run(ctx, func() bool {
+		_, ok := p.components.Leases.Held(lease.Budget)
 		return ok
 	})
 }
 
-// stop drains the process: it is no longer ready, waits for the balancer, hands its leases over,
-// finishes every request and answer, and ends. What still runs when ctx or the drain time ends is
-// cut, and counted in the log.
+// stop drains and closes the process. The readiness check fails first, and requests are still accepted
+// until the load balancer has had time to notice. Then the process hands over its leases, waits for
+// requests and responses to end, and closes all components. Requests and attempts that still run when
+// ctx ends or the drain timeout has passed are cut, and their numbers are logged.
 func (p *process) stop(ctx context.Context) error {
-	p.parts.Log.WithField("event", "drain_started").Info("")
-	p.parts.Handler.SetDraining()
+	p.components.Log.WithField("event", "drain_started").Info("drain started")
+	p.components.Handler.SetDraining()
 	p.draining.Store(true)
-	clock.Sleep(ctx, p.parts.Settings.Timeouts.BalancerWait)
-	drain, cancel := context.WithTimeout(ctx, p.parts.Settings.Timeouts.Drain)
+	clock.Sleep(ctx, p.components.Settings.Timeouts.BalancerWait)
+	drain, cancel := context.WithTimeout(ctx, p.components.Settings.Timeouts.Drain)
 	defer cancel()
 	p.drain(drain)
-	p.close()
+	p.closeAll()
 	return nil
 }
 
 func (p *process) drain(ctx context.Context) {
-	p.handOver(ctx)
-	p.parts.Handler.SetRefusing()
+	p.handOverLeases(ctx)
+	p.components.Handler.SetRefusing()
 	if err := p.callers.Shutdown(ctx); err != nil {
-		p.parts.Log.WithFields(logrus.Fields{"event": "callers_cut", "error": err.Error()}).Warn("")
+		p.components.Log.WithFields(logrus.Fields{"event": "callers_cut", "error": err.Error()}).Warn("could not close all connections of callers gracefully")
 	}
-	cut := p.parts.Requests.Wait(ctx)
-	p.parts.Leases.Release()
-	for p.parts.Owner.Busy() > 0 && ctx.Err() == nil {
+	cut := p.components.Requests.Wait(ctx)
+	p.components.Leases.Release()
+	for p.components.Owner.Busy() > 0 && ctx.Err() == nil {
 		clock.Sleep(ctx, drainPollInterval)
 	}
-	if err := p.parts.Ledger.Flush(ctx); err != nil {
-		p.parts.Log.WithFields(logrus.Fields{"event": "records_unwritten", "error": err.Error()}).Warn("")
+	if err := p.components.Ledger.Flush(ctx); err != nil {
+		p.components.Log.WithFields(logrus.Fields{"event": "records_unwritten", "error": err.Error()}).Warn("drain ended before all at-most-once records were written")
 	}
 	busy := 0
 	if ctx.Err() != nil {
-		busy = p.parts.Owner.Busy()
+		busy = p.components.Owner.Busy()
 	}
-	p.parts.Log.WithFields(logrus.Fields{"event": "drain_ended", "cut_requests": cut, "cut_attempts": busy}).Info("")
+	p.components.Log.WithFields(logrus.Fields{"event": "drain_ended", "cut_requests": cut, "cut_attempts": busy}).Info("drain ended")
 }
 
-// handOver hands the leases over. It leaves the greater part of the drain time to what runs: while the
-// table is down, this VM keeps its leases until its own requests have ended.
-func (p *process) handOver(ctx context.Context) {
+// handOverLeases hands over the leases for at most handOverTimeout, which leaves most of the drain timeout
+// to running requests. While the table is down, this VM keeps its leases until its own requests have ended.
+func (p *process) handOverLeases(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	if err := p.parts.Leases.Drain(ctx); err != nil {
-		p.parts.Log.WithFields(logrus.Fields{"event": "handover_incomplete", "error": err.Error()}).Warn("")
+	if err := p.components.Leases.Drain(ctx); err != nil {
+		p.components.Log.WithFields(logrus.Fields{"event": "handover_incomplete", "error": err.Error()}).Warn("could not hand over all leases in time; they are released once requests have ended")
 	}
 }
 
-// close ends every part.
-func (p *process) close() {
+// closeAll closes all listeners and connections, waits for the goroutines of the components, and flushes
+// the log.
+func (p *process) closeAll() {
 	_ = p.callers.Close()
 	_ = p.admin.Close()
-	p.parts.Base.cancel()
-	p.parts.Listeners.close()
-	p.parts.Server.Close()
-	p.loops.Wait()
-	p.parts.Log.WithField("event", "stopped").Info("")
-	p.parts.Lines.Close(logFlush)
+	p.components.Background.cancel()
+	p.components.Listeners.close()
+	p.components.PeerServer.Close()
+	p.goroutines.Wait()
+	p.components.Log.WithField("event", "stopped").Info("daemon stopped")
+	p.components.EventLog.Close(logFlushTimeout)
 }
--- a/pkg/daemon/traffic.go
+++ b/pkg/daemon/requests.go
@@ -26,30 +26,33 @@
 	"github.com/mallowlink/mallowlink/pkg/suspect"
 )
 
-// background is the context of work that lasts as long as the process.
-type background struct {
+// backgroundContext is the context for work that runs until the process stops. Its own type lets fx
+// provide it.
+type backgroundContext struct {
 	context.Context
 	cancel context.CancelFunc
 }
 
-func newBackground() background {
+func newBackgroundContext() backgroundContext {
 	ctx, cancel := context.WithCancel(context.Background())
-	return background{ctx, cancel}
+	return backgroundContext{ctx, cancel}
 }
 
-// quotas are the two sides of the client accounts' limits.
+// quotas holds both sides of the rate limits of client accounts: the home grants tokens for the accounts
+// whose leases this VM holds, and the holder obtains and spends tokens for the requests on this VM.
 type quotas struct {
 	home   *quota.Home
 	holder *quota.Holder
 }
 
-func newQuotas(bg background, id identity, leases *lease.Manager, members *membership.Registry, follower *rollout.Follower, p pools, log logrus.FieldLogger) quotas {
+func newQuotas(bg backgroundContext, id identity, leases *lease.Manager, members *membership.Registry, follower *rollout.Follower, p pools, log logrus.FieldLogger) quotas {
 	limits := func(account string) (quota.Limit, bool) { return accountLimit(follower.Current(), account) }
 	home := quota.NewHome(bg, id.VM, leases, members, p.control, limits, log)
 	holder := quota.NewHolder(bg, id.VM, id.Incarnation, home, leases, p.control, limits)
 	return quotas{home: home, holder: holder}
 }
 
+// accountLimit returns the rate limit of an account in the bundle, and false if there is none.
 func accountLimit(b *bundle.Bundle, account string) (quota.Limit, bool) {
 	if b == nil {
 		return quota.Limit{}, false
@@ -58,23 +61,25 @@
 	return quota.Limit{Rate: a.Rate, Burst: a.Burst}, ok
 }
 
-// budgets are the two sides of the fleet-wide load budget.
+// budgets holds both sides of the fleet-wide budget for adapter loads: the home grants load permits while
+// this VM holds the budget lease, and the holder obtains permits for the engines that this VM owns.
 type budgets struct {
-	home   *budget.Home
-	holder *budget.Holder
-	wake   *wakeUp
+	home       *budget.Home
+	holder     *budget.Holder
+	ownerWaker *ownerWaker
 }
 
-// wakeUp calls the owner, which is made after the budget that it needs.
-type wakeUp struct{ call func() }
+// ownerWaker lets the budget holder wake the owner. The owner is built after the holder, which it depends
+// on, so that newOwner sets call.
+type ownerWaker struct{ call func() }
 
-func newBudgets(bg background, id identity, leases *lease.Manager, members *membership.Registry, follower *rollout.Follower, p pools) budgets {
+func newBudgets(bg backgroundContext, id identity, leases *lease.Manager, members *membership.Registry, follower *rollout.Follower, p pools) budgets {
 	limits := func() (budget.Limit, bool) { return fleetLimit(follower.Current()) }
 	config := budget.Config{ID: id.VM, Incarnation: id.Incarnation, LoadLimit: owner.LoadTimeout}
-	wake := &wakeUp{call: func() {}}
+	wake := &ownerWaker{call: func() {}}
 	home := budget.NewHome(bg, config, leases, members, p.control, limits)
 	holder := budget.NewHolder(bg, config, home, leases, p.control, func() { wake.call() })
-	return budgets{home: home, holder: holder, wake: wake}
+	return budgets{home: home, holder: holder, ownerWaker: wake}
 }
 
 func newSuspectTable() *suspect.Table {
@@ -101,7 +106,7 @@
 		Log:          log,
 		Seed:         uint64(id.Started.UnixNano()),
 	})
-	b.wake.call = o.Wake
+	b.ownerWaker.call = o.Wake
 	return o
 }
 
@@ -121,33 +126,34 @@
 	return ledger.New(table, request.OwnerProver{Directory: d}, registry, log)
 }
 
-// memoryPerVM bounds the bytes of callers' bodies and unfinished answers.
-const memoryPerVM = 256 << 20
+// maxBufferedBytes is the maximum memory on this VM for the bodies of callers' requests and for unfinished
+// responses.
+const maxBufferedBytes = 256 << 20
 
-func newMemory() *memory.Budget { return memory.NewBudget(memoryPerVM) }
+func newMemoryBudget() *memory.Budget { return memory.NewBudget(maxBufferedBytes) }
 
-func newRequests(d *owner.Directory, q quotas, l *ledger.Ledger, table *suspect.Table, a *suspect.PeerAnnouncer, held *memory.Budget, registry metrics.Registry, log logrus.FieldLogger) *request.Service {
+func newRequests(d *owner.Directory, q quotas, l *ledger.Ledger, table *suspect.Table, a *suspect.PeerAnnouncer, buffers *memory.Budget, registry metrics.Registry, log logrus.FieldLogger) *request.Service {
 	return request.NewService(request.Config{
 		Directory: d,
 		Quota:     q.holder,
 		Ledger:    l,
 		Suspects:  suspect.NewGuard(table, a),
 		Retries:   retry.New(),
-		Memory:    held,
+		Memory:    buffers,
 		Metrics:   registry,
 		Log:       log,
 	})
 }
 
-// errNoBundle is why a VM without a bundle is not ready.
+// errNoBundle is the reason why a VM is not ready before it has received a bundle.
 var errNoBundle = errors.New("no bundle yet")
 
-func newHandler(s settings.Settings, follower *rollout.Follower, requests *request.Service, held *memory.Budget, registry metrics.Registry, log logrus.FieldLogger) *entry.Handler {
+func newHandler(s settings.Settings, follower *rollout.Follower, requests *request.Service, buffers *memory.Budget, registry metrics.Registry, log logrus.FieldLogger) *entry.Handler {
 	return entry.NewHandler(entry.Config{
 		Source:  follower,
 		Runner:  requests,
 		Limits:  entryLimits(s),
-		Memory:  held,
+		Memory:  buffers,
 		Metrics: registry,
 		Log:     log,
 		Ready: func() error {
@@ -172,8 +178,8 @@
 	return limits
 }
 
-// fleetLimit returns the fleet-wide load budget of the bundle. Each load is one weight transfer, so
-// that the smaller of the two bounds holds.
+// fleetLimit returns the fleet-wide load budget in the bundle, and false if there is no bundle. Each load
+// is one weight transfer, so that the smaller of the two limits on concurrency applies.
 func fleetLimit(b *bundle.Bundle) (budget.Limit, bool) {
 	if b == nil {
 		return budget.Limit{}, false
--- a/pkg/daemon/state.go
+++ b/pkg/daemon/state.go
@@ -16,7 +16,7 @@
 	"github.com/mallowlink/mallowlink/pkg/suspect"
 )
 
-// State is the dump of a process's state. It holds no caller's key.
+// State is the dump of a process's state for operators. It contains no caller's API key.
 type State struct {
 	VM            string                `json:"vm"`
 	Incarnation   string                `json:"incarnation"`
@@ -31,7 +31,7 @@
 	Suspects      []suspect.Notice      `json:"suspects"`
 }
 
-// PeerState describes another VM as this one sees it.
+// PeerState is the state of another VM as this VM last observed it.
 type PeerState struct {
 	VM            string `json:"vm"`
 	Incarnation   string `json:"incarnation"`
@@ -44,7 +44,7 @@
 	Silent        string `json:"silent"`
 }
 
-// admin serves operators.
+// admin holds the HTTP handler for operators.
 type admin struct{ handler http.Handler }
 
 func newAdmin(id identity, follower *rollout.Follower, members *membership.Registry, leases *lease.Manager, b budgets, o *owner.Owner, requests *request.Service, suspects *suspect.Table, registry metrics.Registry) admin {
