--- a/pkg/daemon/fleet.go
+++ b/pkg/daemon/fleet.go
@@ -36,7 +36,8 @@
 }
 
 // leaseListeners notifies several listeners of leases gained and lost. The lease manager is built before
-// the components that listen, so that connectLeaseListeners sets the fields, before the manager runs.
+// the components that listen, so connectLeaseListeners sets the fields afterwards, but before the manager
+// runs.
 type leaseListeners struct {
 	listeners []lease.Listener
 	// state returns the data that this VM passes on to the next holder of a lease.
--- a/pkg/daemon/process.go
+++ b/pkg/daemon/process.go
@@ -232,7 +232,7 @@
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
 	if err := p.components.Leases.Drain(ctx); err != nil {
-		p.components.Log.WithFields(logrus.Fields{"event": "handover_incomplete", "error": err.Error()}).Warn("could not hand over all leases in time; they are released once requests have ended")
+		p.components.Log.WithFields(logrus.Fields{"event": "handover_incomplete", "error": err.Error()}).Warn("could not hand over all leases; the others are released once requests have ended")
 	}
 }
 
--- a/pkg/daemon/requests.go
+++ b/pkg/daemon/requests.go
@@ -70,7 +70,7 @@
 }
 
 // ownerWaker lets the budget holder wake the owner. The owner is built after the holder, which it depends
-// on, so that newOwner sets call.
+// on, so newOwner sets call.
 type ownerWaker struct{ call func() }
 
 func newBudgets(bg backgroundContext, id identity, leases *lease.Manager, members *membership.Registry, follower *rollout.Follower, p pools) budgets {
@@ -179,7 +179,7 @@
 }
 
 // fleetLimit returns the fleet-wide load budget in the bundle, and false if there is no bundle. Each load
-// is one weight transfer, so that the smaller of the two limits on concurrency applies.
+// is one weight transfer, so the smaller of the two limits on concurrency applies.
 func fleetLimit(b *bundle.Bundle) (budget.Limit, bool) {
 	if b == nil {
 		return budget.Limit{}, false
--- a/pkg/inifile/section.go
+++ b/pkg/inifile/section.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// Section is one section of a file. The methods that return a value report invalid ones. Done reports
-// the keys that none of them has requested. A Section is not safe for concurrent use.
+// Section is one section of a file. The methods that return a value report an invalid one, and record that
+// the key has been requested; the keys never requested can then be reported as unknown. A Section is not
+// safe for concurrent use.
 type Section struct {
 	Name string
 	Line int
@@ -105,19 +106,19 @@
 	return s.String(key, "")
 }
 
-// Word returns the key's value, which must be one of the words, or fallback if the key is absent or its
+// Word returns the key's value, which must be one of the options, or fallback if the key is absent or its
 // value is invalid.
-func (s *Section) Word(key, fallback string, words ...string) string {
+func (s *Section) Word(key, fallback string, options ...string) string {
 	v, ok := s.value(key)
 	if !ok {
 		return fallback
 	}
-	for _, word := range words {
-		if v == word {
+	for _, option := range options {
+		if v == option {
 			return v
 		}
 	}
-	s.Fail(key, "%q is none of %s", v, strings.Join(words, ", "))
+	s.Fail(key, "%q is none of %s", v, strings.Join(options, ", "))
 	return fallback
 }
 
