--- a/pkg/daemon/process.go
+++ b/pkg/daemon/process.go
@@ -223,7 +223,7 @@
 	if ctx.Err() != nil {
 		busy = p.components.Owner.Busy()
 	}
-	p.components.Log.WithFields(logrus.Fields{"event": "drain_ended", "cut_requests": cut, "cut_attempts": busy}).Info("drain ended")
+	p.components.Log.WithFields(logrus.Fields{"event": "drain_ended", "cut_requests": cut, "cut_attempts": busy}).Info()
 }
 
 // handOverLeases hands over the leases for at most handOverTimeout, which leaves most of the drain timeout
