--- a/pkg/membership/chart.go
+++ b/pkg/membership/chart.go
@@ -27,5 +27,5 @@
 	[]chart.State{stateListed, stateLive, stateSilent, stateDraining, stateGone},
 	[]chart.Event{eventAnswered, eventDrains, eventMissed, eventRefused, eventUnlisted})
 
-// Chart returns the state chart of a VM's life.
+// Chart returns the state chart of a VM as other VMs see it.
 func Chart() *chart.Chart { return vmChart }
--- a/pkg/membership/heartbeat.go
+++ b/pkg/membership/heartbeat.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// beat sends one heartbeat and records its outcome.
-func (r *Registry) beat(ctx context.Context, target Member) {
+// sendBeat sends one heartbeat to the target and records its outcome.
+func (r *Registry) sendBeat(ctx context.Context, target Member) {
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.BeatInterval)
 	defer cancel()
 	sent := clock.Now()
@@ -30,62 +30,64 @@
 	err := r.caller.Call(ctx, target.PeerAddress, beatMethod, r.ownBeat(), &reply)
 	switch {
 	case err == nil && reply.ID == target.ID:
-		r.answered(Answer{Beat: reply, Sent: sent})
+		r.recordReply(Answer{Beat: reply, Sent: sent})
 	case errors.Is(err, peer.ErrRefused):
-		r.refused(target)
+		r.recordRefused(target)
 	case err != nil:
-		r.log.WithError(err).WithFields(logrus.Fields{"event": "heartbeat_lost", "vm": target.ID, "sent": sent}).Debug()
+		r.log.WithError(err).WithFields(logrus.Fields{"event": "heartbeat_lost", "vm": target.ID, "sent": sent}).Debug("heartbeat got no reply")
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if rec := r.records[target.ID]; rec != nil {
-		rec.beating = false
+		rec.beatInFlight = false
 	}
 }
 
-// answered takes in the reply to a heartbeat of this VM.
-func (r *Registry) answered(answer Answer) {
+// recordReply records the reply to a heartbeat of this VM.
+func (r *Registry) recordReply(answer Answer) {
 	r.mu.Lock()
-	rec, moved := r.takeBeat(answer.Beat, answer.Sent)
+	rec, changed := r.recordBeat(answer.Beat, answer.Sent)
 	if rec != nil && rec.member.Incarnation == answer.Beat.Incarnation {
 		rec.answer = answer
 	}
 	r.mu.Unlock()
-	if moved {
-		r.changed()
+	if changed {
+		r.onChange()
 	}
 }
 
-// heard takes in a heartbeat that another VM has sent. It may have been under way for long, so it
-// brings news of the VM but is no Answer.
-func (r *Registry) heard(beat Beat) {
+// recordCall records a heartbeat that another VM has sent. The heartbeat may have been in transit for
+// a long time, so it updates the VM's record but does not count as an Answer.
+func (r *Registry) recordCall(beat Beat) {
 	if beat.ID == r.cfg.ID || beat.ID == "" {
 		return
 	}
 	r.mu.Lock()
-	was := r.record(beat.ID).member.StoreDown
-	_, moved := r.takeBeat(beat, time.Time{})
+	wasDown := r.record(beat.ID).member.StoreDown
+	_, changed := r.recordBeat(beat, time.Time{})
 	r.mu.Unlock()
-	if beat.Status.StoreDown && !was {
-		// Leases may hang on how soon this VM has the other's word in an answer of its own.
+	if beat.Status.StoreDown && !wasDown {
+		// While the table is down, leases may depend on how soon this VM gets the other VM's report in a
+		// reply to a heartbeat of its own.
 		r.Announce()
 	}
-	if moved {
-		r.changed()
+	if changed {
+		r.onChange()
 	}
 }
 
-// takeBeat records a beat. It returns nil for beats of old incarnations. Asked is when the call that the
-// beat answers was sent, or zero for a beat that came unasked. r.mu is held.
-func (r *Registry) takeBeat(beat Beat, asked time.Time) (*record, bool) {
+// recordBeat records a heartbeat and reports whether the VM's state or incarnation changed. It returns
+// a nil record for heartbeats of outdated incarnations. callSent is when the call was sent to which the
+// heartbeat is the reply, or zero for a heartbeat that is not a reply. r.mu is held.
+func (r *Registry) recordBeat(beat Beat, callSent time.Time) (*record, bool) {
 	rec := r.record(beat.ID)
 	known := rec.member.Incarnation
-	if rec.outdated(beat.Incarnation, asked) {
+	if rec.outdated(beat.Incarnation, callSent) {
 		return nil, false
 	}
 	if known != "" && beat.Incarnation != known {
 		rec.goneIncarnations[known] = true
-		rec.renew()
+		rec.resetIncarnation()
 	}
 	rec.member.ID = beat.ID
 	rec.member.Incarnation = beat.Incarnation
@@ -94,7 +96,7 @@
 	rec.member.Draining = beat.Status.Draining
 	rec.member.BundleVersion = beat.Status.BundleVersion
 	rec.member.StoreDown = beat.Status.StoreDown
-	rec.heardAt = time.Now()
+	rec.lastContact = time.Now()
 	rec.claims = beat.Status.Claims
 	delete(rec.goneIncarnations, beat.Incarnation)
 	event := eventAnswered
@@ -104,17 +106,19 @@
 	return rec, r.fire(rec, event) || beat.Incarnation != known
 }
 
-func (r *Registry) refused(target Member) {
+// recordRefused records that the target's address refused the connection, which proves that the
+// incarnation is gone.
+func (r *Registry) recordRefused(target Member) {
 	r.mu.Lock()
 	rec := r.records[target.ID]
-	moved := false
-	// A newer incarnation may have answered while the call was under way.
+	changed := false
+	// A newer incarnation may have responded while the call was in flight.
 	if rec != nil && rec.member.Incarnation == target.Incarnation {
 		rec.goneIncarnations[target.Incarnation] = true
-		moved = r.fire(rec, eventRefused)
+		changed = r.fire(rec, eventRefused)
 	}
 	r.mu.Unlock()
-	if moved {
-		r.changed()
+	if changed {
+		r.onChange()
 	}
 }
--- a/pkg/membership/lookup.go
+++ b/pkg/membership/lookup.go
@@ -30,15 +30,15 @@
 
 func (rec *record) snapshot(now time.Time) Member {
 	m := rec.member
-	m.Gone = rec.life.State() == stateGone
+	m.Gone = rec.machine.State() == stateGone
 	if m.Gone {
 		m.GoneFor = now.Sub(rec.goneAt)
 	}
-	m.Silent = now.Sub(rec.heardAt)
+	m.Silent = now.Sub(rec.lastContact)
 	return m
 }
 
-// Live returns the members that answer and do not drain, ordered by ID.
+// Live returns the members that respond and are not draining, ordered by ID.
 func (r *Registry) Live() []Member {
 	members := r.Members()
 	live := members[:0]
@@ -51,7 +51,7 @@
 	return live
 }
 
-// Gone reports whether that incarnation of the VM is proven gone.
+// Gone reports whether the given incarnation of the VM is proven gone.
 func (r *Registry) Gone(id, incarnation string) bool {
 	if id == r.cfg.ID {
 		return incarnation < r.cfg.Incarnation
@@ -62,12 +62,12 @@
 	if rec == nil {
 		return false
 	}
-	// A newer incarnation at the address proves the older ones gone.
+	// A newer incarnation of the VM proves the older ones gone.
 	return rec.goneIncarnations[incarnation] || incarnation < rec.member.Incarnation
 }
 
-// Claims returns the leases that that incarnation of the VM last claimed. They tell where to look for
-// a lease's holder, and prove nothing.
+// Claims returns the leases that the given incarnation of the VM last claimed. Claims are hints where
+// to look for a lease's holder; they prove nothing.
 func (r *Registry) Claims(id, incarnation string) []Claim {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,7 +78,8 @@
 	return rec.claims
 }
 
-// Answer returns the last reply of that incarnation of the VM to a heartbeat of this VM.
+// Answer returns the last reply of the given incarnation of the VM to a heartbeat of this VM, and
+// reports false if there is none.
 func (r *Registry) Answer(id, incarnation string) (Answer, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/membership/beat.go
+++ b/pkg/membership/message.go
@@ -12,7 +12,7 @@
 
 const beatMethod = ServiceName + ".Beat"
 
-// Beat is a heartbeat: what a VM says of itself, as call and as reply.
+// Beat is a heartbeat: the state that a VM reports about itself. Both the call and its reply carry one.
 type Beat struct {
 	ID            string
 	Incarnation   string
@@ -21,15 +21,15 @@
 	Status        Status
 }
 
-// Status is the part of a heartbeat that changes.
+// Status is the part of a heartbeat that changes while the process runs.
 type Status struct {
 	Draining      bool
 	BundleVersion uint64
-	// StoreDown says that the table service does not answer the VM.
+	// StoreDown says that the table service does not respond to the VM.
 	StoreDown bool
 	// LeaseSeen is the highest table version among the lease rows that the VM has listed.
 	LeaseSeen uint64
-	// Claims are the leases that name the VM as their holder, by its own knowledge.
+	// Claims are the leases that name the VM as their holder, as far as the VM itself knows.
 	Claims []Claim
 }
 
@@ -39,27 +39,27 @@
 	Fencing uint64
 }
 
-// Answer is the last reply of a VM to a heartbeat of this VM.
+// Answer is the last reply of another VM to a heartbeat of this VM.
 type Answer struct {
 	Beat Beat
-	// Sent is when this VM sent the heartbeat: the reply was written after it.
+	// Sent is when this VM sent the heartbeat. The reply was written later than that.
 	Sent time.Time
 }
 
-// NewIncarnation returns an identifier for a process started at now. Identifiers of one VM sort by
-// the time at which their processes started.
+// NewIncarnation returns an identifier for a process started at now. The identifiers of one VM sort
+// by the start times of their processes.
 func NewIncarnation(now time.Time) string {
 	return fmt.Sprintf("%016x-%s", now.UnixNano(), uuid.NewString()[:8])
 }
 
-// Service takes heartbeats of other VMs by net/rpc.
+// Service receives the heartbeats of other VMs over net/rpc.
 type Service struct {
 	registry *Registry
 }
 
-// Beat records the caller's heartbeat and answers with this VM's own.
+// Beat records the heartbeat of the calling VM and replies with this VM's own.
 func (s *Service) Beat(args *Beat, reply *Beat) error {
-	s.registry.heard(*args)
+	s.registry.recordCall(*args)
 	*reply = s.registry.ownBeat()
 	return nil
 }
--- a/pkg/membership/sighting.go
+++ b/pkg/membership/observe.go
@@ -8,18 +8,18 @@
 	"github.com/mallowlink/mallowlink/pkg/platform"
 )
 
-// Sighting is what the table tells of a VM.
+// Sighting is the state of a VM by its session row in the lease table.
 type Sighting struct {
 	ID          string
 	Incarnation string
 	PeerAddress string
-	// Renewed says that the VM has written its row since the last sighting.
+	// Renewed says that the VM has written its row since the previous Sighting.
 	Renewed  bool
 	Draining bool
 }
 
-// Learn takes in what the table tells of a VM. In a fleet too large for heartbeats between all VMs,
-// it is what shows that most of them live.
+// Learn records the state of a VM by its session row. In a fleet too large for heartbeats between all
+// VMs, the rows are the only sign that most of the VMs are alive.
 func (r *Registry) Learn(seen Sighting) {
 	if seen.ID == r.cfg.ID {
 		return
@@ -31,17 +31,17 @@
 		if known := rec.member.Incarnation; known != "" {
 			rec.goneIncarnations[known] = true
 		}
-		rec.renew()
-		rec.life = chart.NewMachine(vmChart)
+		rec.resetIncarnation()
+		rec.machine = chart.NewMachine(vmChart)
 		rec.member.Incarnation = seen.Incarnation
 		rec.member.PeerAddress = seen.PeerAddress
-		// Leases may hang on how soon this VM has the other's word.
+		// While the table is down, leases may depend on how soon this VM has a report of the other VM.
 		r.Announce()
 	}
 	if !seen.Renewed || seen.Incarnation != rec.member.Incarnation || rec.goneIncarnations[seen.Incarnation] {
 		return
 	}
-	rec.heardAt = time.Now()
+	rec.lastContact = time.Now()
 	rec.member.Draining = seen.Draining
 	event := eventAnswered
 	if seen.Draining {
@@ -50,36 +50,38 @@
 	r.fire(rec, event)
 }
 
-// markSilent moves on the VMs that have not answered within the timeout.
-func (r *Registry) markSilent() {
+// markUnresponsive updates the state of the VMs that have not responded within the heartbeat timeout.
+func (r *Registry) markUnresponsive() {
 	r.mu.Lock()
-	moved := false
+	changed := false
 	for _, rec := range r.records {
-		if time.Since(rec.heardAt) > r.cfg.BeatTimeout {
-			moved = r.fire(rec, eventMissed) || moved
-			moved = r.checkList(rec) || moved
+		if time.Since(rec.lastContact) > r.cfg.BeatTimeout {
+			changed = r.fire(rec, eventMissed) || changed
+			changed = r.checkUnlisted(rec) || changed
 		}
 	}
 	r.mu.Unlock()
-	if moved {
-		r.changed()
+	if changed {
+		r.onChange()
 	}
 }
 
-// checkList fires unlisted for a silent VM that has left the list. r.mu is held.
-func (r *Registry) checkList(rec *record) bool {
-	if !rec.offList {
+// checkUnlisted fires the unlisted event for an unresponsive VM that has left the platform's list. r.mu
+// is held.
+func (r *Registry) checkUnlisted(rec *record) bool {
+	if !rec.unlisted {
 		return false
 	}
 	return r.fire(rec, eventUnlisted)
 }
 
+// pollList polls the platform's list, and records the VMs on it and those missing from it.
 func (r *Registry) pollList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.ListInterval)
 	defer cancel()
 	vms, err := r.lister.ListVMs(ctx)
 	if err != nil {
-		r.log.WithError(err).WithField("event", "vm_list_failed").Warn()
+		r.log.WithError(err).WithField("event", "vm_list_failed").Warn("cannot read the platform's list of VMs")
 		return
 	}
 	r.mu.Lock()
@@ -90,15 +92,15 @@
 			continue
 		}
 		listed[vm.ID] = true
-		r.takeListed(vm)
+		r.recordListed(vm)
 	}
 	for id, rec := range r.records {
-		rec.offList = !listed[id] && time.Since(rec.knownAt) > r.cfg.ListLag
+		rec.unlisted = !listed[id] && time.Since(rec.incarnationKnownAt) > r.cfg.ListLag
 	}
 }
 
-// takeListed records a VM of the platform's list. r.mu is held.
-func (r *Registry) takeListed(vm platform.VM) {
+// recordListed records a VM that is on the platform's list. r.mu is held.
+func (r *Registry) recordListed(vm platform.VM) {
 	rec := r.record(vm.ID)
 	if rec.member.PeerAddress == "" {
 		rec.member.PeerAddress = vm.PeerAddress
--- a/pkg/membership/partners.go
+++ b/pkg/membership/partners.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank orders the IDs by rendezvous hash for the key: each VM computes the same order, and the
-// loss of a VM moves only what stood first at it.
+// Rank orders the IDs by rendezvous hash for the key, highest first. Every VM computes the same order,
+// and the loss of a VM moves only the keys for which that VM came first.
 func Rank(key string, ids []string) []string {
 	type scored struct {
 		id    string
@@ -30,15 +30,15 @@
 	return ranked
 }
 
-// targets returns the VMs to beat to now, and marks them as being beaten to. While the table is down
-// these are all, because leases hang on every VM's word then.
-func (r *Registry) targets() []Member {
-	all := r.everyone.Swap(false) || r.status().StoreDown
+// pickTargets returns the VMs to send a heartbeat to now, and marks them as having one in flight. While
+// the table is down these are all VMs, because leases then depend on the report of every VM.
+func (r *Registry) pickTargets() []Member {
+	all := r.nextToAll.Swap(false) || r.status().StoreDown
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	candidates := make([]string, 0, len(r.records))
 	for id, rec := range r.records {
-		if rec.member.PeerAddress != "" && !rec.forgotten() {
+		if rec.member.PeerAddress != "" && !rec.goneAndUnlisted() {
 			candidates = append(candidates, id)
 		}
 	}
@@ -49,21 +49,23 @@
 	var targets []Member
 	for _, id := range candidates {
 		rec := r.records[id]
-		if !rec.beating {
-			rec.beating = true
+		if !rec.beatInFlight {
+			rec.beatInFlight = true
 			targets = append(targets, rec.member)
 		}
 	}
 	return targets
 }
 
-// forgotten reports whether the VM is gone and off the list, so that nothing will answer there.
-func (rec *record) forgotten() bool {
-	return rec.offList && rec.life.State() == stateGone
+// goneAndUnlisted reports whether the VM is gone and not on the platform's list, so that nothing will
+// respond at its address.
+func (rec *record) goneAndUnlisted() bool {
+	return rec.unlisted && rec.machine.State() == stateGone
 }
 
-// choosePartners returns the first VM of every failure domain and further ones in rendezvous order,
-// up to Partners in all. r.mu is held.
+// choosePartners returns the VMs that this VM sends heartbeats to in a large fleet: the first VM of
+// every failure domain in rendezvous order, then further VMs in that order, at most Config.Partners in
+// all. r.mu is held.
 func (r *Registry) choosePartners(ids []string) []string {
 	ranked := Rank(r.cfg.ID, ids)
 	chosen := make([]string, 0, r.cfg.Partners)
--- a/pkg/membership/record.go
+++ b/pkg/membership/record.go
@@ -10,31 +10,35 @@
 
 // record is what is known of one other VM. It is guarded by Registry.mu.
 type record struct {
-	member Member
-	life   *chart.Machine
-	// offList says that the VM is off the list, by a list made since the incarnation was known.
-	offList bool
-	heardAt time.Time
+	member  Member
+	machine *chart.Machine
+	// unlisted says that the VM is missing from a platform list that was made after its incarnation
+	// became known.
+	unlisted bool
+	// lastContact is when the VM last gave a sign of life: a heartbeat, a reply or a renewed session row.
+	lastContact time.Time
 	// claims are the leases that the VM last claimed, in a call or in a reply.
 	claims []Claim
-	// goneAt is when the VM was proven gone last.
+	// goneAt is when the VM was last proven gone.
 	goneAt time.Time
-	// knownAt is when the incarnation was first known.
-	knownAt time.Time
-	answer  Answer
-	// goneIncarnations are those proven gone at this VM.
+	// incarnationKnownAt is when the present incarnation became known.
+	incarnationKnownAt time.Time
+	answer             Answer
+	// goneIncarnations are the incarnations of the VM that are proven gone.
 	goneIncarnations map[string]bool
-	beating          bool
+	// beatInFlight says that a heartbeat to the VM has been sent and has not ended yet.
+	beatInFlight bool
 }
 
-// fire moves the record's life on and reports whether the state changed. r.mu is held.
+// fire applies the event to the record's state machine and reports whether the state changed. r.mu is
+// held.
 func (r *Registry) fire(rec *record, event chart.Event) bool {
-	before := rec.life.State()
-	if err := rec.life.Fire(event); err != nil {
-		r.log.WithError(err).WithField("event", "vm_event_rejected").Error()
+	before := rec.machine.State()
+	if err := rec.machine.Fire(event); err != nil {
+		r.log.WithError(err).WithField("event", "vm_event_rejected").Error("state chart of the VM rejected an event")
 		return false
 	}
-	after := rec.life.State()
+	after := rec.machine.State()
 	if before == after {
 		return false
 	}
@@ -45,38 +49,40 @@
 	r.log.WithFields(logrus.Fields{
 		"event": "vm_state", "vm": rec.member.ID, "incarnation": rec.member.Incarnation,
 		"from": before, "to": after, "cause": event,
-	}).Info()
+	}).Info("state of a VM changed")
 	return true
 }
 
-// record returns the record of a VM, which it creates if need be. r.mu is held.
+// record returns the record of a VM, and creates one if there is none. r.mu is held.
 func (r *Registry) record(id string) *record {
 	rec := r.records[id]
 	if rec == nil {
 		rec = &record{
-			member:           Member{ID: id},
-			life:             chart.NewMachine(vmChart),
-			knownAt:          time.Now(),
-			goneIncarnations: map[string]bool{},
+			member:             Member{ID: id},
+			machine:            chart.NewMachine(vmChart),
+			incarnationKnownAt: time.Now(),
+			goneIncarnations:   map[string]bool{},
 		}
 		r.records[id] = rec
 	}
 	return rec
 }
 
-// renew forgets what was known of the last incarnation. The list may still speak of that one.
-func (rec *record) renew() {
+// resetIncarnation discards what was known of the previous incarnation. It clears unlisted, because the
+// latest list may still be about the previous incarnation.
+func (rec *record) resetIncarnation() {
 	rec.answer = Answer{}
 	rec.claims = nil
-	rec.knownAt = time.Now()
-	rec.offList = false
+	rec.incarnationKnownAt = time.Now()
+	rec.unlisted = false
 }
 
-// outdated reports whether a beat is of an earlier incarnation than the one known. Incarnations are in
-// the order of their names, which start with the time of day at their start. That may have been set
-// back in between, so a process that answers a call, sent after the known incarnation was last heard
-// of, is the later one in any case.
-func (rec *record) outdated(incarnation string, asked time.Time) bool {
+// outdated reports whether a heartbeat is from an earlier incarnation than the known one. Incarnations
+// are ordered by their names, which begin with the time of day at process start. The clock may have been
+// set back between two starts. Therefore a process that replies to a heartbeat which was sent after the
+// last contact with the known incarnation counts as the later one, whatever its name. callSent is when
+// this VM sent that heartbeat, or zero if the heartbeat in question is not a reply.
+func (rec *record) outdated(incarnation string, callSent time.Time) bool {
 	known := rec.member.Incarnation
 	switch {
 	case incarnation == known:
@@ -86,5 +92,5 @@
 	case incarnation > known:
 		return false
 	}
-	return asked.IsZero() || !asked.After(rec.knownAt) || !asked.After(rec.heardAt)
+	return callSent.IsZero() || !callSent.After(rec.incarnationKnownAt) || !callSent.After(rec.lastContact)
 }
--- a/pkg/membership/registry.go
+++ b/pkg/membership/registry.go
@@ -22,7 +22,7 @@
 	DefaultPartners     = 6
 )
 
-// Config describes this VM and the pace of heartbeats.
+// Config describes this VM and sets the intervals and timeouts of the registry.
 type Config struct {
 	ID            string
 	Incarnation   string
@@ -30,16 +30,16 @@
 	PeerAddress   string
 	// BeatInterval is the time between two heartbeats to one VM.
 	BeatInterval time.Duration
-	// BeatTimeout is the silence after which a VM no longer counts as live.
+	// BeatTimeout is how long a VM may be unresponsive and still count as live.
 	BeatTimeout time.Duration
 	// ListInterval is the time between two polls of the platform's list.
 	ListInterval time.Duration
-	// ListLag bounds how far the platform's list lags behind: a process that has been known for longer
-	// and is not on the list is gone.
+	// ListLag bounds how far the platform's list lags behind. A VM whose process has been known for
+	// longer counts as unlisted if the list does not have it.
 	ListLag time.Duration
-	// FullMesh is the fleet size up to which every VM beats to every other.
+	// FullMesh is the fleet size up to which every VM sends heartbeats to every other.
 	FullMesh int
-	// Partners is the number of VMs that each VM beats to in a larger fleet.
+	// Partners is the number of VMs that each VM sends heartbeats to in a larger fleet.
 	Partners int
 }
 
@@ -58,61 +58,63 @@
 	}
 }
 
-// Registry is this VM's view of the fleet, kept up to date by the platform's list and heartbeats.
+// Registry is this VM's view of the fleet, kept up to date by the platform's list, heartbeats and the
+// session rows in the lease table.
 type Registry struct {
 	cfg    Config
 	lister platform.VMLister
 	caller peer.Caller
 	log    logrus.FieldLogger
-	// status and changed are set before Run.
-	status  func() Status
-	changed func()
-	// announce asks for heartbeats ahead of time.
-	announce chan struct{}
-	// everyone says that the next heartbeats go to every VM.
-	everyone atomic.Bool
+	// status and onChange are set before Run.
+	status   func() Status
+	onChange func()
+	// beatNow requests heartbeats ahead of the next interval.
+	beatNow chan struct{}
+	// nextToAll says that the next heartbeats go to every VM, not only to partners.
+	nextToAll atomic.Bool
 
 	mu      sync.Mutex
 	records map[string]*record // by VM ID, guarded by mu
 }
 
-// New returns a registry that knows only this VM. Without a lister it knows the VMs that it is told of
-// by Learn and by their heartbeats.
+// New returns a registry that knows only this VM. Without a lister, the registry finds other VMs only
+// through Learn and their heartbeats.
 func New(cfg Config, lister platform.VMLister, caller peer.Caller, log logrus.FieldLogger) *Registry {
 	cfg.setDefaults()
 	return &Registry{
-		cfg:     cfg,
-		lister:  lister,
-		caller:  caller,
-		log:     log,
-		status:  func() Status { return Status{} },
-		changed: func() {},
-
-		announce: make(chan struct{}, 1),
-		records:  map[string]*record{},
+		cfg:      cfg,
+		lister:   lister,
+		caller:   caller,
+		log:      log,
+		status:   func() Status { return Status{} },
+		onChange: func() {},
+
+		beatNow: make(chan struct{}, 1),
+		records: map[string]*record{},
 	}
 }
 
-// Announce sends heartbeats at once, because there is news. It never blocks.
+// Announce sends heartbeats at once, because the state of this VM or of another one has changed. It
+// never blocks.
 func (r *Registry) Announce() {
 	select {
-	case r.announce <- struct{}{}:
+	case r.beatNow <- struct{}{}:
 	default:
 	}
 }
 
 // AskAll sends heartbeats to every VM at once, not only to partners. It never blocks.
 func (r *Registry) AskAll() {
-	r.everyone.Store(true)
+	r.nextToAll.Store(true)
 	r.Announce()
 }
 
-// SetStatus sets the source of this VM's changing status. It must be called before Run.
+// SetStatus sets the function that returns this VM's current status. It must be called before Run.
 func (r *Registry) SetStatus(status func() Status) { r.status = status }
 
-// OnChange sets a function that is called, without locks, after a VM has started to answer, has
-// fallen silent, drains or is proven gone. It must be called before Run.
-func (r *Registry) OnChange(changed func()) { r.changed = changed }
+// OnChange sets a function that is called, without locks held, after a VM has become responsive or
+// unresponsive, has begun to drain or is proven gone. It must be called before Run.
+func (r *Registry) OnChange(changed func()) { r.onChange = changed }
 
 // Service returns the service to register with net/rpc under ServiceName.
 func (r *Registry) Service() *Service { return &Service{registry: r} }
@@ -126,30 +128,31 @@
 	}
 	group.Go(func() { r.announceLoop(ctx, &group) })
 	every(ctx, r.cfg.BeatInterval, func(ctx context.Context) {
-		r.beatAll(ctx, &group)
-		r.markSilent()
+		r.sendBeats(ctx, &group)
+		r.markUnresponsive()
 	})
 }
 
-// announceLoop sends heartbeats when there is news.
+// announceLoop sends heartbeats when Announce requests them.
 func (r *Registry) announceLoop(ctx context.Context, group *sync.WaitGroup) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.announce:
-			r.beatAll(ctx, group)
+		case <-r.beatNow:
+			r.sendBeats(ctx, group)
 		}
 	}
 }
 
-// beatAll sends a heartbeat to every partner that none is under way to.
-func (r *Registry) beatAll(ctx context.Context, group *sync.WaitGroup) {
-	for _, target := range r.targets() {
-		group.Go(func() { r.beat(ctx, target) })
+// sendBeats sends a heartbeat to every target that has none in flight.
+func (r *Registry) sendBeats(ctx context.Context, group *sync.WaitGroup) {
+	for _, target := range r.pickTargets() {
+		group.Go(func() { r.sendBeat(ctx, target) })
 	}
 }
 
+// every calls do at once and then at each interval, until ctx ends.
 func every(ctx context.Context, interval time.Duration, do func(context.Context)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/pkg/membership/registry_test.go
+++ b/pkg/membership/registry_test.go
@@ -13,14 +13,14 @@
 	"github.com/mallowlink/mallowlink/pkg/platform"
 )
 
-// pair is two VMs that know each other by the list.
+// pair is a fleet of two VMs that know each other from the platform's list.
 type pair struct {
 	net    *fleettest.Network
 	lister *fleettest.Lister
 	ctx    context.Context
 	a, b   *membership.Registry
-	// ends holds what ends each VM's process.
-	ends map[string]context.CancelFunc
+	// cancels stop the VMs' processes, by VM ID.
+	cancels map[string]context.CancelFunc
 }
 
 func (p *pair) start(id, incarnation string) *membership.Registry {
@@ -29,21 +29,21 @@
 		p.lister, p.net.Caller(address, nil), fleettest.Quiet())
 	p.net.Listen(address, nil, map[string]any{membership.ServiceName: r.Service()})
 	ctx, cancel := context.WithCancel(p.ctx)
-	p.ends[id] = cancel
+	p.cancels[id] = cancel
 	go r.Run(ctx)
 	return r
 }
 
-// kill ends the process of the VM: it sends nothing any more, and its address refuses connections.
+// kill stops the process of the VM, which then sends nothing, and makes its address refuse connections.
 func (p *pair) kill(id string) {
-	p.ends[id]()
+	p.cancels[id]()
 	p.net.Kill(id + ":1")
 }
 
 func runPair(t *testing.T, body func(*testing.T, *pair)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		p := &pair{net: fleettest.NewNetwork(1), lister: &fleettest.Lister{}, ctx: ctx, ends: map[string]context.CancelFunc{}}
+		p := &pair{net: fleettest.NewNetwork(1), lister: &fleettest.Lister{}, ctx: ctx, cancels: map[string]context.CancelFunc{}}
 		both := []platform.VM{{ID: "a", PeerAddress: "a:1"}, {ID: "b", PeerAddress: "b:1"}}
 		p.lister.Set(both)
 		defer func() {
@@ -56,7 +56,7 @@
 	})
 }
 
-func TestVMsFindEachOther(t *testing.T) {
+func TestListedVMsExchangeHeartbeats(t *testing.T) {
 	runPair(t, func(t *testing.T, p *pair) {
 		require.Len(t, p.a.Live(), 2)
 		require.Len(t, p.b.Live(), 2)
@@ -79,8 +79,9 @@
 	})
 }
 
-// A process that starts while the time of day is set back has a lower incarnation than the one before.
-func TestRestartWithTheTimeOfDaySetBack(t *testing.T) {
+// A process that starts after the clock was set back has a lower incarnation than the process before
+// it. It must be accepted all the same, and a late row of the earlier process must not replace it.
+func TestRestartAfterClockSetBack(t *testing.T) {
 	runPair(t, func(t *testing.T, p *pair) {
 		p.kill("b")
 		time.Sleep(3 * time.Second)
@@ -94,12 +95,13 @@
 
 		p.a.Learn(membership.Sighting{ID: "b", Incarnation: "1", PeerAddress: "b:1", Renewed: true})
 		_, ok = p.a.Answer("b", "0")
-		require.True(t, ok, "a row of the last process changes nothing")
+		require.True(t, ok, "a row of the previous process must change nothing")
 		require.True(t, p.a.Gone("b", "1"))
 	})
 }
 
-func TestSilenceProvesNothing(t *testing.T) {
+// A VM that cannot be reached may still be running, so it is not gone while the platform lists it.
+func TestUnresponsiveListedVMIsNotGone(t *testing.T) {
 	runPair(t, func(t *testing.T, p *pair) {
 		p.net.SetCut("a:1", "b:1", true)
 		time.Sleep(2 * time.Minute)
@@ -107,11 +109,12 @@
 		require.Len(t, p.a.Live(), 1)
 		p.lister.Set([]platform.VM{{ID: "a", PeerAddress: "a:1"}})
 		time.Sleep(5 * time.Second)
-		require.True(t, p.a.Gone("b", "1"), "off the list and silent")
+		require.True(t, p.a.Gone("b", "1"), "off the list and unresponsive")
 	})
 }
 
-// TestLaggingListDoesNotProveANewIncarnationGone has the list still miss a VM that was replaced.
+// The platform's list may lag and still lack a VM that has been restarted. Until the new incarnation
+// has been known for longer than the lag, its absence from the list must not prove it gone.
 func TestLaggingListDoesNotProveANewIncarnationGone(t *testing.T) {
 	runPair(t, func(t *testing.T, p *pair) {
 		time.Sleep(2 * time.Minute)
@@ -128,7 +131,7 @@
 	})
 }
 
-func TestVMThatAnswersIsNotGone(t *testing.T) {
+func TestResponsiveUnlistedVMIsNotGone(t *testing.T) {
 	runPair(t, func(t *testing.T, p *pair) {
 		p.lister.Set(nil)
 		time.Sleep(5 * time.Minute)
@@ -136,7 +139,8 @@
 	})
 }
 
-// FuzzBeat feeds heartbeats of strangers to a VM.
+// FuzzBeat sends arbitrary heartbeats to a VM. None may count as a reply to a heartbeat of its own or
+// change what the VM reports of itself.
 func FuzzBeat(f *testing.F) {
 	f.Add("b", "1", "x", "b:1", true, uint64(7), "group/a", uint64(1024))
 	f.Add("", "", "", "", false, uint64(0), "", uint64(0))
@@ -149,7 +153,7 @@
 		require.NoError(t, r.Service().Beat(&beat, &reply))
 		require.Equal(t, "a", reply.ID)
 		_, answered := r.Answer(id, incarnation)
-		require.False(t, answered, "a call of another VM is not an answer")
+		require.False(t, answered, "a heartbeat from another VM is not a reply")
 		require.Equal(t, "1", r.Self().Incarnation)
 		require.False(t, r.Gone("a", "1"))
 	})
--- a/pkg/membership/view.go
+++ b/pkg/membership/view.go
@@ -1,4 +1,5 @@
-// Package membership tells which VMs of the fleet exist and answer.
+// Package membership tracks which VMs of the fleet exist and respond. VMs exchange heartbeats, poll the
+// platform's list of VMs and read each other's session rows in the lease table.
 package membership
 
 import "time"
@@ -10,26 +11,26 @@
 	FailureDomain string
 	PeerAddress   string
 	Draining      bool
-	// BundleVersion is the version that the VM last reported.
+	// BundleVersion is the version of the configuration bundle that the VM last reported.
 	BundleVersion uint64
-	// StoreDown says that the VM last reported that the table service does not answer it.
+	// StoreDown says that the VM last reported that the table service does not respond to it.
 	StoreDown bool
-	// Silent is the time since the VM last answered, as this VM measured it.
+	// Silent is the time since the last sign of life of the VM, by the clock of this VM.
 	Silent time.Duration
-	// Gone says that the VM is proven gone: it was on the platform's list and is off it, its
-	// address refuses connections, or a newer incarnation answers there.
+	// Gone says that the VM is proven gone: it was on the platform's list and no longer is, its address
+	// refuses connections, or a newer incarnation responds there.
 	Gone bool
-	// GoneFor is the time since the VM was proven gone, 0 if it is not.
+	// GoneFor is the time since the VM was proven gone, or 0 if it is not gone.
 	GoneFor time.Duration
 }
 
-// View is this VM's view of the fleet.
+// View is the fleet as this VM sees it.
 type View interface {
 	// Self returns this VM.
 	Self() Member
 	// Members returns every VM that may exist, this one included, ordered by ID.
 	Members() []Member
-	// Live returns the members that have answered within the heartbeat timeout and are not draining,
-	// this VM included unless it drains, ordered by ID.
+	// Live returns the members that have responded within the heartbeat timeout and are not draining,
+	// ordered by ID. This VM is included unless it is draining.
 	Live() []Member
 }
