--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -1,4 +1,6 @@
-// Package follow keeps a copy of a table of rows up to date by its feed.
+// Package follow keeps local copies of the platform's tables up to date. A feed returns all rows of a
+// table (a snapshot) or the changes since a position; a Follower polls it in the background, a Mirror
+// reads it on demand.
 package follow
 
 import (
@@ -14,123 +16,127 @@
 	"github.com/mallowlink/mallowlink/pkg/platform"
 )
 
-// Config describes what is followed.
+// Config describes the table that a Follower copies.
 type Config struct {
-	// Name names the table in logs.
+	// Name is the name of the table in logs.
 	Name string
 	Feed platform.Feed
-	// Wait is how long one call waits for a change; Pause is the time between two calls. A table in
-	// which something changes all the time is followed with a pause.
+	// Wait is how long one call waits for a change (long polling). Pause is the time between two calls;
+	// a pause bounds the number of calls for a table that changes all the time.
 	Wait, Pause time.Duration
-	// Changed is called with all rows, by key, after something has changed, and with the table's position that
-	// they are of. It must not keep the map.
+	// Changed is called after something has changed, with all rows by key and the table position to which they
+	// belong. It must not keep the map.
 	Changed func(rows map[string]platform.Row, position uint64)
 	Log     logrus.FieldLogger
 }
 
 const (
-	// retryPause is the time before a failed call is made again; it doubles up to maxRetryPause.
-	retryPause    = 100 * time.Millisecond
-	maxRetryPause = 800 * time.Millisecond
-	// confirmPart is the part of the usual wait that the call after a change waits: an answer with changes
-	// says only that the copy was current when the call was sent.
-	confirmPart = 4
+	// initialBackoff is the mean delay before a failed call is repeated. The delay doubles with each
+	// further failure, up to maxBackoff.
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 800 * time.Millisecond
+	// confirmDivisor shortens the wait of the call that follows a response with changes, to Wait/confirmDivisor.
+	// Such a response confirms only that the copy was current when its call was sent, so the next
+	// confirmation should come soon.
+	confirmDivisor = 4
 )
 
-// Follower follows one table.
+// Follower keeps a copy of one table up to date.
 type Follower struct {
 	cfg  Config
 	rows map[string]platform.Row
-	// position is where the next call goes on; listed says that there is one.
-	position uint64
-	listed   bool
-	// moved says that the last answer held changes.
-	moved bool
+	// position is the table position after which the next call asks for changes. hasPosition is false until a
+	// snapshot has given one.
+	position    uint64
+	hasPosition bool
+	// lastHadChanges says that the last response contained changes.
+	lastHadChanges bool
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 
-	confirmed time.Time
-	downSince time.Time
-	up        bool
-	returned  time.Time
+	confirmed   time.Time
+	downSince   time.Time
+	up          bool
+	recoveredAt time.Time
 }
 
-// New returns a follower.
+// New returns a Follower that has no rows yet. Run starts it.
 func New(cfg Config) *Follower {
 	return &Follower{cfg: cfg, rows: map[string]platform.Row{}}
 }
 
-// Confirmed returns the moment up to which the copy is known to be current. It is zero before the first
-// answer.
+// Confirmed returns the time at which the copy is last known to have been current, or zero before the
+// first response.
 func (f *Follower) Confirmed() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.confirmed
 }
 
-// Returned returns when the table last began to answer again after an outage; zero if there was none.
+// Returned returns when the table last began to respond again after an outage, or zero if there was no
+// outage.
 func (f *Follower) Returned() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.returned
+	return f.recoveredAt
 }
 
-// Run follows the table until ctx ends.
+// Run keeps the copy up to date until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	pause := retryPause
+	backoff := initialBackoff
 	for ctx.Err() == nil {
-		err := f.step(ctx)
+		err := f.poll(ctx)
 		switch {
 		case err == nil:
-			pause = retryPause
+			backoff = initialBackoff
 			clock.Sleep(ctx, f.cfg.Pause)
 		case errors.Is(err, platform.ErrCompacted):
-			f.listed = false
-			f.cfg.Log.WithFields(logrus.Fields{"event": "feed_compacted", "table": f.cfg.Name, "position": f.position}).Warn()
+			f.hasPosition = false
+			f.cfg.Log.WithFields(logrus.Fields{"event": "feed_compacted", "table": f.cfg.Name, "position": f.position}).Warn("feed no longer has the changes after the position; taking a new snapshot")
 		case ctx.Err() == nil:
-			f.lost(err)
-			clock.Sleep(ctx, pause/2+rand.N(pause))
-			pause = min(2*pause, maxRetryPause)
+			f.markDown(err)
+			clock.Sleep(ctx, backoff/2+rand.N(backoff))
+			backoff = min(2*backoff, maxBackoff)
 		}
 	}
 }
 
-// step makes one call.
-func (f *Follower) step(ctx context.Context) error {
+// poll makes one call: for a snapshot if there is no position, else for changes.
+func (f *Follower) poll(ctx context.Context) error {
 	sent := clock.Now()
-	if !f.listed {
+	if !f.hasPosition {
 		rows, position, err := f.cfg.Feed.Snapshot(ctx)
 		if err != nil {
 			return err
 		}
 		f.replace(rows)
-		f.position, f.listed = position, true
-		f.answered(sent)
+		f.position, f.hasPosition = position, true
+		f.markUp(sent)
 		f.cfg.Changed(f.rows, f.position)
 		return nil
 	}
 	wait := f.cfg.Wait
-	if f.moved {
-		wait /= confirmPart
+	if f.lastHadChanges {
+		wait /= confirmDivisor
 	}
 	changes, position, err := f.cfg.Feed.Changes(ctx, f.position, wait)
 	if err != nil {
 		return err
 	}
-	f.moved = len(changes) > 0
+	f.lastHadChanges = len(changes) > 0
 	f.position = max(position, f.position)
 	f.apply(changes)
-	f.answered(heard(sent, time.Now(), wait, len(changes)))
+	f.markUp(confirmedUntil(sent, time.Now(), wait, len(changes)))
 	if len(changes) > 0 {
 		f.cfg.Changed(f.rows, f.position)
 	}
 	return nil
 }
 
-// heard returns the moment up to which a call's answer speaks. An answer without changes that has taken as
-// long as the call was to wait was given at the end of that time.
-func heard(sent, now time.Time, wait time.Duration, changes int) time.Time {
+// confirmedUntil returns the time at which a call's response confirms the copy as current. That is when the call was
+// sent. For a response without changes that took at least the requested wait, it is the end of that wait.
+func confirmedUntil(sent, now time.Time, wait time.Duration, changes int) time.Time {
 	if changes == 0 && now.Sub(sent) >= wait {
 		return sent.Add(wait)
 	}
@@ -154,29 +160,29 @@
 	}
 }
 
-// answered notes that the table has answered, and that the copy is current up to that moment.
-func (f *Follower) answered(confirmed time.Time) {
+// markUp records that the table has responded, and that the copy was current at the time confirmed.
+func (f *Follower) markUp(confirmed time.Time) {
 	f.mu.Lock()
-	was := f.up
+	wasUp := f.up
 	down := f.downSince
 	f.confirmed = confirmed
 	f.up = true
 	if !down.IsZero() {
-		f.returned = time.Now()
+		f.recoveredAt = time.Now()
 		f.downSince = time.Time{}
 	}
 	f.mu.Unlock()
-	if !was {
+	if !wasUp {
 		entry := f.cfg.Log.WithFields(logrus.Fields{"event": "feed_up", "table": f.cfg.Name, "rows": len(f.rows), "position": f.position})
 		if !down.IsZero() {
 			entry = entry.WithField("down", time.Since(down).Round(time.Millisecond))
 		}
-		entry.Info()
+		entry.Info("table feed responds")
 	}
 }
 
-// lost notes that the table does not answer.
-func (f *Follower) lost(err error) {
+// markDown records that the table does not respond.
+func (f *Follower) markDown(err error) {
 	f.mu.Lock()
 	first := f.downSince.IsZero()
 	if first {
@@ -185,6 +191,6 @@
 	f.up = false
 	f.mu.Unlock()
 	if first {
-		f.cfg.Log.WithFields(logrus.Fields{"event": "feed_down", "table": f.cfg.Name, "error": err.Error()}).Warn()
+		f.cfg.Log.WithFields(logrus.Fields{"event": "feed_down", "table": f.cfg.Name, "error": err.Error()}).Warn("table feed does not respond")
 	}
 }
--- a/pkg/follow/follow_test.go
+++ b/pkg/follow/follow_test.go
@@ -13,7 +13,7 @@
 	"github.com/mallowlink/mallowlink/pkg/platform"
 )
 
-// fakeFeed is a feed in virtual time.
+// fakeFeed is an in-memory feed for tests in virtual time.
 type fakeFeed struct {
 	mu        sync.Mutex
 	rows      map[string]platform.Row
@@ -40,7 +40,7 @@
 	f.changed = make(chan struct{})
 }
 
-func (f *fakeFeed) set(change func()) {
+func (f *fakeFeed) withLock(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
@@ -63,7 +63,7 @@
 func (f *fakeFeed) Changes(ctx context.Context, after uint64, wait time.Duration) ([]platform.Change, uint64, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	f.set(func() { f.calls++ })
+	f.withLock(func() { f.calls++ })
 	for {
 		f.mu.Lock()
 		down, compacted, version, changed := f.down, f.compacted, f.version, f.changed
@@ -92,8 +92,9 @@
 	}
 }
 
-// follow runs a follower in a bubble.
-func follow(t *testing.T, wait, pause time.Duration, do func(feed *fakeFeed, f *Follower, seen func() map[string]string)) {
+// runFollower runs do beside a running Follower in a synctest bubble. seen returns the rows that the
+// Follower last reported to Config.Changed.
+func runFollower(t *testing.T, wait, pause time.Duration, do func(feed *fakeFeed, f *Follower, seen func() map[string]string)) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
 		var mu sync.Mutex
@@ -125,8 +126,8 @@
 	})
 }
 
-func TestFollowerTakesChangesAtOnce(t *testing.T) {
-	follow(t, time.Second, 0, func(feed *fakeFeed, _ *Follower, seen func() map[string]string) {
+func TestFollowerAppliesChangesAtOnce(t *testing.T) {
+	runFollower(t, time.Second, 0, func(feed *fakeFeed, _ *Follower, seen func() map[string]string) {
 		feed.put("a", "1")
 		require.Equal(t, map[string]string{"a": "1"}, seen())
 		time.Sleep(10 * time.Second)
@@ -135,33 +136,35 @@
 	})
 }
 
-// What the copy is confirmed for is never older than two waits while the table answers, and stands still
-// while it does not.
-func TestFollowerKnowsHowOldItsCopyIs(t *testing.T) {
-	follow(t, time.Second, 0, func(feed *fakeFeed, f *Follower, _ func() map[string]string) {
+// While the table responds, the confirmed time stays within two waits of the present. While the table does
+// not respond, the confirmed time does not advance.
+func TestFollowerConfirmedTime(t *testing.T) {
+	runFollower(t, time.Second, 0, func(feed *fakeFeed, f *Follower, _ func() map[string]string) {
 		time.Sleep(5500 * time.Millisecond)
 		require.LessOrEqual(t, time.Since(f.Confirmed()), time.Second)
 		feed.put("a", "1")
 		time.Sleep(400 * time.Millisecond)
 		require.LessOrEqual(t, time.Since(f.Confirmed()), time.Second)
-		feed.set(func() { feed.down = true })
+		feed.withLock(func() { feed.down = true })
 		time.Sleep(2 * time.Second)
 		before := f.Confirmed()
 		time.Sleep(20 * time.Second)
 		require.Equal(t, before, f.Confirmed())
 		require.True(t, f.Returned().IsZero())
-		feed.set(func() { feed.down = false })
+		feed.withLock(func() { feed.down = false })
 		time.Sleep(3 * time.Second)
 		require.LessOrEqual(t, time.Since(f.Confirmed()), time.Second)
 		require.WithinDuration(t, time.Now().Add(-2*time.Second), f.Returned(), 2*time.Second)
 	})
 }
 
-func TestFollowerStartsAnewWhenTheHistoryIsGone(t *testing.T) {
-	follow(t, time.Second, 0, func(feed *fakeFeed, _ *Follower, seen func() map[string]string) {
+// A feed that no longer has the changes after the follower's position makes the follower start again from
+// a snapshot, which also drops rows that were removed meanwhile.
+func TestFollowerTakesSnapshotAfterCompaction(t *testing.T) {
+	runFollower(t, time.Second, 0, func(feed *fakeFeed, _ *Follower, seen func() map[string]string) {
 		feed.put("a", "1")
 		seen()
-		feed.set(func() {
+		feed.withLock(func() {
 			delete(feed.rows, "a")
 			feed.rows["b"] = platform.Row{Key: "b", Version: 9, Value: []byte("2")}
 			feed.version, feed.compacted, feed.changes = 9, 9, nil
@@ -171,14 +174,14 @@
 	})
 }
 
-// A table in which something changes all the time is read at the pace of the pause.
-func TestFollowerPauses(t *testing.T) {
-	follow(t, 0, time.Second, func(feed *fakeFeed, _ *Follower, seen func() map[string]string) {
+// A table that changes all the time is polled no more often than the pause allows.
+func TestFollowerPausesBetweenCalls(t *testing.T) {
+	runFollower(t, 0, time.Second, func(feed *fakeFeed, _ *Follower, seen func() map[string]string) {
 		for range 100 {
 			feed.put("a", "x")
 			time.Sleep(100 * time.Millisecond)
 		}
 		seen()
-		feed.set(func() { require.LessOrEqual(t, feed.calls, 13) })
+		feed.withLock(func() { require.LessOrEqual(t, feed.calls, 13) })
 	})
 }
--- a/pkg/follow/mirror.go
+++ b/pkg/follow/mirror.go
@@ -17,25 +17,25 @@
 	platform.Feed
 }
 
-// Mirror is a table whose listings cost only what has changed since the last one. It is safe for
-// concurrent use.
+// Mirror is a table that answers listings from a local copy. Each listing first fetches the changes since
+// the previous one, so its cost depends only on them. A Mirror is safe for concurrent use.
 type Mirror struct {
 	FeedTable
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 
-	rows     map[string]platform.Row
-	position uint64
-	listed   bool
+	rows        map[string]platform.Row
+	position    uint64
+	hasPosition bool
 }
 
-// NewMirror returns a mirror of the table.
+// NewMirror returns a Mirror of the table. The first listing takes a snapshot.
 func NewMirror(table FeedTable) *Mirror {
 	return &Mirror{FeedTable: table, rows: map[string]platform.Row{}}
 }
 
-// List implements platform.Table. The listing is of a moment after the call began.
+// List implements platform.Table. The rows are those of a time after the call began.
 func (m *Mirror) List(ctx context.Context, prefix string) ([]platform.Row, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -45,7 +45,8 @@
 	return m.matching(prefix), nil
 }
 
-// Known returns the rows whose keys begin with prefix as of the last listing, without a call.
+// Known returns the rows whose keys begin with prefix, as of the last listing. It makes no call to the
+// platform.
 func (m *Mirror) Known(prefix string) []platform.Row {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -66,7 +67,7 @@
 
 // refresh brings the copy up to date. m.mu is held.
 func (m *Mirror) refresh(ctx context.Context) error {
-	if m.listed {
+	if m.hasPosition {
 		changes, position, err := m.Changes(ctx, m.position, 0)
 		if err == nil {
 			m.apply(changes, position)
@@ -75,7 +76,7 @@
 		if !errors.Is(err, platform.ErrCompacted) {
 			return err
 		}
-		m.listed = false
+		m.hasPosition = false
 	}
 	rows, position, err := m.Snapshot(ctx)
 	if err != nil {
@@ -85,11 +86,11 @@
 	for _, row := range rows {
 		m.rows[row.Key] = row
 	}
-	m.position, m.listed = position, true
+	m.position, m.hasPosition = position, true
 	return nil
 }
 
-// apply takes changes into the copy. m.mu is held.
+// apply applies changes to the copy and advances the position. m.mu is held.
 func (m *Mirror) apply(changes []platform.Change, position uint64) {
 	for _, c := range changes {
 		if c.Removed {
