--- a/pkg/retry/retry.go
+++ b/pkg/retry/retry.go
@@ -1,47 +1,48 @@
-// Package retry bounds re-dispatched requests to a share of the traffic, so that a failing group of
-// endpoints is not loaded further by the retries of its own failures.
+// Package retry limits retried requests to a share of the traffic, so that the retries of failed requests
+// do not add further load to a failing group of endpoints.
 package retry
 
 import "sync"
 
 const (
-	// Reserve is the retries allowed before there has been any traffic, so that a VM with few
-	// requests can retry at all.
-	Reserve = 3.0
-	// Cap bounds the retries that quiet times save up.
-	Cap = 50.0
+	// InitialRetries is the number of retries allowed before there has been any traffic, so that a VM with
+	// few requests can retry at all.
+	InitialRetries = 3.0
+	// MaxSavedRetries bounds the number of retries that accumulate while few are needed.
+	MaxSavedRetries = 50.0
 )
 
-// Budget is a token bucket that traffic fills. The zero value is not usable; see New.
+// Budget is a token bucket of retries that is filled by first attempts. It is safe for concurrent use. The
+// zero value is not usable; see New.
 type Budget struct {
-	mu     sync.Mutex
-	tokens float64
+	mu        sync.Mutex
+	available float64 // guarded by mu
 }
 
-// New returns a Budget that holds Reserve.
-func New() *Budget { return &Budget{tokens: Reserve} }
+// New returns a Budget that holds InitialRetries.
+func New() *Budget { return &Budget{available: InitialRetries} }
 
 // Deposit counts one first attempt, which allows percent/100 retries.
 func (b *Budget) Deposit(percent float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(Cap, b.tokens+percent/100)
+	b.available = min(MaxSavedRetries, b.available+percent/100)
 }
 
-// Withdraw takes the right to one retry, or reports false.
+// Withdraw takes one retry from the budget. It reports false if less than one is left.
 func (b *Budget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.tokens < 1 {
+	if b.available < 1 {
 		return false
 	}
-	b.tokens--
+	b.available--
 	return true
 }
 
-// Left returns the retries allowed now.
+// Left returns the number of retries allowed now.
 func (b *Budget) Left() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.tokens
+	return b.available
 }
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -15,7 +15,7 @@
 			granted++
 		}
 	}
-	require.InDelta(t, 100+Reserve, granted, 1)
+	require.InDelta(t, 100+InitialRetries, granted, 1)
 }
 
 func TestBudgetIsCapped(t *testing.T) {
@@ -23,5 +23,5 @@
 	for range 10000 {
 		b.Deposit(10)
 	}
-	require.InDelta(t, Cap, b.Left(), 1e-9)
+	require.InDelta(t, MaxSavedRetries, b.Left(), 1e-9)
 }
--- a/pkg/retry/window.go
+++ b/pkg/retry/window.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// buckets is the number of steps in which a Window forgets.
+// buckets is the number of parts of a Window's span. Counts expire one part at a time.
 const buckets = 20
 
-// Window bounds repeats within a sliding span of time: to a share of the requests of that span, and a
-// fixed number on top. It is safe for concurrent use.
+// Window limits retries within a sliding span of time to a share of the requests in that span, plus a
+// reserve that does not depend on the requests. It is safe for concurrent use.
 type Window struct {
 	span    time.Duration
 	share   float64
@@ -18,19 +18,21 @@
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 
+	// start is the beginning of the current bucket.
 	start    time.Time
 	requests [buckets]int
-	repeats  [buckets]int
-	current  int
+	retries  [buckets]int
+	// current is the index of the bucket that counts now.
+	current int
 }
 
-// NewWindow returns a Window over span, for a share of the requests and reserve repeats. The reserve may
-// change.
+// NewWindow returns a Window over span that allows share retries per request, plus as many as reserve
+// returns. reserve is called for every decision, so its result may change over time.
 func NewWindow(span time.Duration, share float64, reserve func() float64) *Window {
 	return &Window{span: span, share: share, reserve: reserve}
 }
 
-// Request counts one request.
+// Request counts one request at the time now.
 func (w *Window) Request(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -38,36 +40,37 @@
 	w.requests[w.current]++
 }
 
-// Repeat takes the right to one repeat, or reports false.
+// Repeat counts one retry at the time now and reports true if the limit allows the retry. Otherwise it
+// reports false and counts nothing.
 func (w *Window) Repeat(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance(now)
-	requests, repeats := 0, 0
+	requests, retries := 0, 0
 	for i := range buckets {
 		requests += w.requests[i]
-		repeats += w.repeats[i]
+		retries += w.retries[i]
 	}
-	if float64(repeats)+1 > w.share*float64(requests)+w.reserve() {
+	if float64(retries)+1 > w.share*float64(requests)+w.reserve() {
 		return false
 	}
-	w.repeats[w.current]++
+	w.retries[w.current]++
 	return true
 }
 
-// advance moves the window to now. w.mu is held.
+// advance moves the window to now and clears the buckets that have expired. w.mu is held.
 func (w *Window) advance(now time.Time) {
 	if w.start.IsZero() {
 		w.start = now
 	}
 	step := w.span / buckets
-	for moved := 0; now.Sub(w.start) >= step; moved++ {
-		if moved > buckets {
+	for steps := 0; now.Sub(w.start) >= step; steps++ {
+		if steps > buckets {
 			w.start = now
 			return
 		}
 		w.start = w.start.Add(step)
 		w.current = (w.current + 1) % buckets
-		w.requests[w.current], w.repeats[w.current] = 0, 0
+		w.requests[w.current], w.retries[w.current] = 0, 0
 	}
 }
--- a/pkg/retry/window_test.go
+++ b/pkg/retry/window_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Within any span, repeats stay within the share of the requests and the reserve.
-func TestWindowBoundsRepeats(t *testing.T) {
+// Within any span, the retries stay within the share of the requests plus the reserve.
+func TestWindowBoundsRetries(t *testing.T) {
 	const span, share, reserve = 10 * time.Second, 0.2, 3.0
 	w := NewWindow(span, share, func() float64 { return reserve })
 	now := time.Unix(1_700_000_000, 0)
 	type event struct {
-		at     time.Time
-		repeat bool
+		at    time.Time
+		retry bool
 	}
 	var events []event
 	for i := range 6000 {
@@ -28,23 +28,23 @@
 		}
 	}
 	for i, first := range events {
-		requests, repeats := 0, 0
+		requests, retries := 0, 0
 		for _, e := range events[i:] {
 			if e.at.Sub(first.at) >= span {
 				break
 			}
-			if e.repeat {
-				repeats++
+			if e.retry {
+				retries++
 			} else {
 				requests++
 			}
 		}
-		// Requests up to a span before count as well: the share follows the traffic.
-		require.LessOrEqual(t, float64(repeats), share*float64(max(requests, 500))+2*reserve+1)
+		// Requests of up to one span before also count, because the share applies to the sliding window.
+		require.LessOrEqual(t, float64(retries), share*float64(max(requests, 500))+2*reserve+1)
 	}
 }
 
-func TestWindowForgets(t *testing.T) {
+func TestWindowExpiresOldRetries(t *testing.T) {
 	w := NewWindow(10*time.Second, 0, func() float64 { return 2 })
 	now := time.Unix(1_700_000_000, 0)
 	require.True(t, w.Repeat(now))
--- a/pkg/route/table.go
+++ b/pkg/route/table.go
@@ -1,4 +1,5 @@
-// Package route selects the route of a request by its host and path.
+// Package route selects the route of a request by its host and path, and the group of endpoints that the
+// route leads to.
 package route
 
 import (
@@ -8,8 +9,9 @@
 	"github.com/mallowlink/mallowlink/pkg/bundle"
 )
 
-// Table selects among the routes of one bundle that have a host and a prefix. It is immutable.
+// Table selects among those routes of one bundle that have a host and a path prefix. It is immutable.
 type Table struct {
+	// hosts holds the routes by canonical host, those with the longest prefix first.
 	hosts map[string][]bundle.Route
 }
 
@@ -28,7 +30,8 @@
 	return t
 }
 
-// Match returns the route of the host whose prefix is the longest that begins the path.
+// Match returns the route of the host with the longest prefix that the path starts with. It reports false if
+// there is none.
 func (t *Table) Match(host, path string) (bundle.Route, bool) {
 	for _, r := range t.hosts[canonicalHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -38,7 +41,7 @@
 	return bundle.Route{}, false
 }
 
-// canonicalHost strips the port and the case of a host.
+// canonicalHost returns the host without a port and in lower case.
 func canonicalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -46,7 +49,8 @@
 	return strings.ToLower(host)
 }
 
-// Pick returns the group that a request goes to. point in [0,1) selects among weighted backends.
+// Pick returns the group of endpoints that a request goes to. If the route has weighted backends, point, a
+// number in [0,1), selects one of them in proportion to the weights.
 func Pick(r bundle.Route, point float64) string {
 	total := 0.0
 	for _, b := range r.Backends {
@@ -58,12 +62,12 @@
 		}
 		return r.Group
 	}
-	at := point * total
+	rest := point * total
 	for _, b := range r.Backends {
-		if at < b.Weight {
+		if rest < b.Weight {
 			return b.Group
 		}
-		at -= b.Weight
+		rest -= b.Weight
 	}
 	return r.Backends[len(r.Backends)-1].Group
 }
--- a/pkg/route/table_test.go
+++ b/pkg/route/table_test.go
@@ -8,7 +8,7 @@
 	"github.com/mallowlink/mallowlink/pkg/bundle"
 )
 
-func table(routes ...bundle.Route) *Table {
+func newTable(routes ...bundle.Route) *Table {
 	b := &bundle.Bundle{Routes: map[string]bundle.Route{}}
 	for _, r := range routes {
 		b.Routes[r.Name] = r
@@ -16,8 +16,8 @@
 	return NewTable(b.Indexed())
 }
 
-func TestMatchTakesTheLongestPrefix(t *testing.T) {
-	tab := table(
+func TestMatchSelectsLongestPrefix(t *testing.T) {
+	tab := newTable(
 		bundle.Route{Name: "a", Host: "one.example", Prefix: "/x/"},
 		bundle.Route{Name: "b", Host: "one.example", Prefix: "/x/y/"},
 		bundle.Route{Name: "c", Host: "two.example", Prefix: "/x/"},
