--- a/pkg/upstream/conn.go
+++ b/pkg/upstream/conn.go
@@ -16,66 +16,69 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// expires is when the endpoint may close the idle connection.
-	expires time.Time
-	// idleSince is when the last answer ended.
+	// keepAliveUntil is when the idle connection may no longer be used, keepAliveMargin before the endpoint may
+	// close it; zero if the endpoint states no limit.
+	keepAliveUntil time.Time
+	// idleSince is when the last response ended.
 	idleSince time.Time
-	// used says that the connection has carried an answer before.
+	// used says that the connection has carried a response before.
 	used bool
-	// ended is how the endpoint's side of the connection has ended; nil while it has not.
-	ended error
-	// headLeft is how many more bytes may be read for the head of an answer; negative while no head is read.
-	headLeft int
+	// closeErr is the read error by which the endpoint's side of the connection was closed or reset; nil while
+	// it is open.
+	closeErr error
+	// headBytesLeft is the number of bytes that may still be read for the head of a response (status line and
+	// header); negative while no head is being read.
+	headBytesLeft int
 }
 
-// maxHead bounds the head of an answer, in bytes. Endpoints' heads take a few hundred.
-const maxHead = 8 << 10
+// maxHeadBytes bounds the head of a response. Endpoints send heads of a few hundred bytes.
+const maxHeadBytes = 8 << 10
 
-// errEndlessHead says that what an endpoint sends does not end as a head.
-var errEndlessHead = errors.New("the head of the answer does not end")
+// errHeadTooLarge says that the head of a response exceeds maxHeadBytes.
+var errHeadTooLarge = errors.New("response head is larger than 8 KiB")
 
-// readBuffer is the size of a connection's read buffer, in bytes; most events and answers fit.
-const readBuffer = 2 << 10
+// readBufferSize is the size of a connection's read buffer, in bytes. Most events and responses fit in it.
+const readBufferSize = 2 << 10
 
 func newConn(c net.Conn) *conn {
-	cn := &conn{Conn: c, headLeft: -1}
-	cn.reader = bufio.NewReaderSize(cn, readBuffer)
+	cn := &conn{Conn: c, headBytesLeft: -1}
+	cn.reader = bufio.NewReaderSize(cn, readBufferSize)
 	return cn
 }
 
-// Read implements net.Conn.
+// Read implements net.Conn. It bounds the head of a response and records the end of the connection.
 func (c *conn) Read(p []byte) (int, error) {
-	if c.headLeft == 0 {
-		return 0, errEndlessHead
+	if c.headBytesLeft == 0 {
+		return 0, errHeadTooLarge
 	}
-	if c.headLeft > 0 {
-		p = p[:min(len(p), c.headLeft)]
+	if c.headBytesLeft > 0 {
+		p = p[:min(len(p), c.headBytesLeft)]
 	}
 	n, err := c.Conn.Read(p)
-	if c.headLeft > 0 {
-		c.headLeft -= n
+	if c.headBytesLeft > 0 {
+		c.headBytesLeft -= n
 	}
 	if Ended(err) {
-		c.ended = err
+		c.closeErr = err
 	}
 	return n, err
 }
 
-// fresh reports whether the connection can carry another request: nothing is left over in it, the
-// endpoint has not closed it and will not do so soon.
-func (c *conn) fresh(now time.Time) bool {
+// reusable reports whether the connection can carry another request: no unread bytes are left in it, and the
+// endpoint has neither closed it nor will do so soon.
+func (c *conn) reusable(now time.Time) bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	if !c.expires.IsZero() && !now.Before(c.expires) {
+	if !c.keepAliveUntil.IsZero() && !now.Before(c.keepAliveUntil) {
 		return false
 	}
-	return c.quiet()
+	return c.noPendingInput()
 }
 
-// quiet reports whether nothing has arrived on the connection: neither bytes that belong to no
-// request nor its end.
-func (c *conn) quiet() bool {
+// noPendingInput reports whether nothing has arrived on the idle connection: neither bytes that belong to no
+// request nor the end of the connection.
+func (c *conn) noPendingInput() bool {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -94,21 +97,22 @@
 	return err == nil && quiet
 }
 
-// keepMargin is how long before the endpoint's own limit an idle connection is given up, for the
-// time that a request needs to arrive.
-const keepMargin = 500 * time.Millisecond
+// keepAliveMargin is how long before the endpoint's keep-alive limit an idle connection is given up. It covers
+// the time that a request needs to arrive.
+const keepAliveMargin = 500 * time.Millisecond
 
-// keep notes how long the endpoint keeps the connection idle, as its answer says.
-func (c *conn) keep(h http.Header, now time.Time) {
+// markIdle marks the connection as idle since now, and records from the header of the last response how long
+// the endpoint keeps it open.
+func (c *conn) markIdle(h http.Header, now time.Time) {
 	c.used = true
 	c.idleSince = now
-	c.expires = time.Time{}
+	c.keepAliveUntil = time.Time{}
 	if limit := keepAlive(h); limit > 0 {
-		c.expires = now.Add(limit - keepMargin)
+		c.keepAliveUntil = now.Add(limit - keepAliveMargin)
 	}
 }
 
-// keepAlive returns the timeout of a Keep-Alive header; 0 if there is none.
+// keepAlive returns the timeout of a Keep-Alive header, or 0 if there is none.
 func keepAlive(h http.Header) time.Duration {
 	for item := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(item), "=")
--- a/pkg/upstream/pool.go
+++ b/pkg/upstream/pool.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// DefaultDialTimeout bounds connecting to an endpoint, which takes a few milliseconds. It leaves
-	// time for another endpoint before a caller's objective has passed.
+	// DefaultDialTimeout bounds the time to connect to an endpoint, which usually takes a few milliseconds. The
+	// limit leaves time to try another endpoint within the caller's latency objective.
 	DefaultDialTimeout = 250 * time.Millisecond
 	// DefaultIdleTimeout is how long an unused connection is kept.
 	DefaultIdleTimeout = 4 * time.Second
-	// maxIdle bounds the idle connections to one endpoint.
+	// maxIdle bounds the number of idle connections to one endpoint.
 	maxIdle = 16
 )
 
-// Target is one run of an endpoint at an address.
+// Target is one incarnation of an endpoint at an address.
 type Target struct {
-	ID      string
+	ID string
+	// Started identifies the incarnation.
 	Started int64
 	Address string
 }
 
-// pool keeps the idle connections to one target.
+// entry holds the idle connections to one target.
 type pool struct {
 	idle []*conn
-	// lastUse is when the pool was used last.
+	// lastUse is when a connection was last taken from the pool or put back.
 	lastUse time.Time
 }
 
-// Pools keep connections to endpoints. It is safe for concurrent use.
+// Pools holds the idle connections to all endpoints. It is safe for concurrent use.
 type Pools struct {
 	dialTimeout, idleTimeout time.Duration
 
@@ -41,38 +42,41 @@
 	pools map[Target]*pool // guarded by mu
 }
 
-// NewPools returns pools without connections.
+// NewPools returns empty Pools.
 func NewPools() *Pools {
 	return &Pools{dialTimeout: DefaultDialTimeout, idleTimeout: DefaultIdleTimeout, pools: map[Target]*pool{}}
 }
 
-// take returns an idle connection that is still good, or nil. The connection used last comes first.
+// take returns a reusable idle connection, or nil if there is none. The most recently used connection comes
+// first. take closes the connections that it finds unusable.
 func (p *Pools) take(target Target, now time.Time) *conn {
 	for {
 		c := p.pop(target, now)
-		if c == nil || now.Sub(c.idleSince) < p.idleTimeout && c.fresh(now) {
+		if c == nil || now.Sub(c.idleSince) < p.idleTimeout && c.reusable(now) {
 			return c
 		}
 		_ = c.Close()
 	}
 }
 
+// pop removes and returns the most recently used idle connection, or returns nil if there is none.
 func (p *Pools) pop(target Target, now time.Time) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	pool := p.pools[target]
-	if pool == nil || len(pool.idle) == 0 {
+	entry := p.pools[target]
+	if entry == nil || len(entry.idle) == 0 {
 		return nil
 	}
-	pool.lastUse = now
-	last := len(pool.idle) - 1
-	c := pool.idle[last]
-	pool.idle[last] = nil
-	pool.idle = pool.idle[:last]
+	entry.lastUse = now
+	last := len(entry.idle) - 1
+	c := entry.idle[last]
+	entry.idle[last] = nil
+	entry.idle = entry.idle[:last]
 	return c
 }
 
-// put keeps a connection for the next request.
+// put keeps an idle connection for the next request. If the pool is full, put closes the connection that was
+// put there first.
 func (p *Pools) put(target Target, c *conn, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,7 +93,7 @@
 	entry.idle = append(entry.idle, c)
 }
 
-// dial opens a connection.
+// dial opens a connection to the target.
 func (p *Pools) dial(ctx context.Context, target Target) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.dialTimeout)
 	defer cancel()
@@ -100,7 +104,7 @@
 	return newConn(c), nil
 }
 
-// Sweep closes the connections that have been idle for too long, and forgets unused pools.
+// Sweep closes the connections that have been idle for too long, and discards unused pools.
 func (p *Pools) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream sends requests to endpoints, each at most once, and tells whether a failed one may
-// have run. It matches answers to requests by the identifier that endpoints echo.
+// Package upstream sends requests to endpoints, each at most once, and reports whether a failed request may
+// have been executed. It matches responses to requests by the request identifier that endpoints echo.
 package upstream
 
 import (
@@ -25,59 +25,61 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID is the identifier that the endpoint echoes.
+	// ID is the request identifier that the endpoint echoes.
 	ID string
 }
 
-// Error says that no answer to the request has arrived.
+// Error says that no response to the request has arrived.
 type Error struct {
-	// Sent is false only if the endpoint has certainly not seen the request.
+	// Sent is false only if the endpoint has certainly not received any of the request.
 	Sent bool
 	Err  error
 }
 
-// Error describes the failure.
+// Error implements the error interface.
 func (e *Error) Error() string {
 	if e.Sent {
-		return fmt.Sprintf("no answer: %v", e.Err)
+		return fmt.Sprintf("no response: %v", e.Err)
 	}
-	return fmt.Sprintf("not sent: %v", e.Err)
+	return fmt.Sprintf("request not sent: %v", e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// maxStray bounds the answers to other requests that are skipped on one connection.
-const maxStray = 3
+// maxStrayResponses is the number of responses read on a connection for one request: if so many belong to
+// other requests (stray responses), the request fails.
+const maxStrayResponses = 3
 
-// maxStrayBytes bounds the body of such an answer.
+// maxStrayBytes bounds the body of a stray response. A larger one fails the request.
 const maxStrayBytes = 1 << 20
 
-// errStray says that a connection held more answers to other requests than are skipped.
-var errStray = errors.New("answers belong to other requests")
+// errStray says that a connection carried stray responses that cannot be skipped: too many, too large or
+// without a stated end.
+var errStray = errors.New("response belongs to another request")
 
-// Client sends requests. It is safe for concurrent use.
+// Client sends requests to endpoints. It is safe for concurrent use.
 type Client struct {
 	pools   *Pools
 	dialect dialect.Dialect
 	events  Events
 }
 
-// Events are told what happens on the way. Nil ones are left out.
+// Events holds callbacks for events while a request is sent. Each may be nil.
 type Events struct {
 	// Dialed is called for each new connection.
 	Dialed func()
-	// Leaving is called when an endpoint has said in an answer that it is about to end.
+	// Leaving is called when an endpoint has said in a response that it is about to terminate.
 	Leaving func(Target)
 }
 
-// NewClient returns a client over the pools.
+// NewClient returns a Client that takes its connections from the pools.
 func NewClient(pools *Pools, d dialect.Dialect, events Events) *Client {
 	return &Client{pools: pools, dialect: d, events: events}
 }
 
-// Send sends the request and returns once the head of its answer has arrived. When ctx ends, the
-// connection is closed. The error is an *Error. The caller closes the answer.
+// Send sends the request and returns once the head of its response has arrived. When ctx ends, the
+// connection is closed. The error is an *Error. The calling code must close the Answer.
 func (c *Client) Send(ctx context.Context, target Target, req Request) (*Answer, error) {
 	now := time.Now()
 	cn := c.pools.take(target, now)
@@ -93,9 +95,10 @@
 	return c.exchange(ctx, target, cn, req)
 }
 
+// exchange sends the request over the connection and reads the head of its response.
 func (c *Client) exchange(ctx context.Context, target Target, cn *conn, req Request) (*Answer, error) {
 	a := &Answer{client: c, target: target, conn: cn}
-	a.stop = context.AfterFunc(ctx, func() { _ = cn.Close() })
+	a.stopWatch = context.AfterFunc(ctx, func() { _ = cn.Close() })
 	if err := writeRequest(cn, req); err != nil {
 		a.abandon()
 		return nil, &Error{Sent: true, Err: cause(ctx, err)}
@@ -107,7 +110,8 @@
 	return a, nil
 }
 
-// cause prefers the reason why ctx ended to the error of the connection that was closed for it.
+// cause returns the reason why ctx ended, if it has, and else err. When ctx ends, the connection is closed
+// and err says only that.
 func cause(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
@@ -115,10 +119,10 @@
 	return err
 }
 
-// buffers are reused for the heads of requests.
+// buffers holds reusable buffers for outgoing requests.
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// writeRequest writes the request in one piece.
+// writeRequest writes the whole request with a single call of Write.
 func writeRequest(w io.Writer, req Request) error {
 	buf := buffers.Get().(*bytes.Buffer)
 	defer buffers.Put(buf)
@@ -148,33 +152,37 @@
 	return err
 }
 
-// Answer is an endpoint's answer. It is read by one goroutine.
+// Answer is an endpoint's response, of which the body is read with Read. It is not safe for concurrent use.
 type Answer struct {
 	Status  int
 	Header  http.Header
 	Verdict dialect.Verdict
-	// Length is the length of the body; -1 if it is not stated.
+	// Length is the length of the body in bytes, or -1 if the header does not state it.
 	Length int64
 
 	client *Client
 	target Target
 	conn   *conn
-	stop   func() bool
-	resp   *http.Response
-	// read is the number of bytes of the body that have been read.
-	read  int64
-	whole bool
+	// stopWatch stops closing the connection when the request's context ends. It reports false if the connection
+	// is being closed already.
+	stopWatch func() bool
+	resp      *http.Response
+	// bodyRead is the number of bytes of the body that have been read.
+	bodyRead int64
+	// complete says that the body has been read to its end.
+	complete bool
 }
 
-// readHead reads the head of the answer and skips answers to other requests.
+// readHead reads the head of the response and skips stray responses.
 func (a *Answer) readHead(req Request) error {
-	for range maxStray {
-		a.conn.headLeft = maxHead
+	for range maxStrayResponses {
+		a.conn.headBytesLeft = maxHeadBytes
 		resp, err := http.ReadResponse(a.conn.reader, &http.Request{Method: req.Method})
-		a.conn.headLeft = -1
-		if err != nil && a.conn.ended != nil && !Ended(err) {
-			// What had arrived of the head does not look like one.
-			return errors.Wrapf(a.conn.ended, "read head: %v", err)
+		a.conn.headBytesLeft = -1
+		if err != nil && a.conn.closeErr != nil && !Ended(err) {
+			// The connection ended within the head, and the part that arrived is malformed: the end of the
+			// connection is the cause.
+			return errors.Wrapf(a.conn.closeErr, "read head: %v", err)
 		}
 		if err != nil {
 			return errors.Wrap(err, "read head")
@@ -182,27 +190,28 @@
 		verdict := a.client.dialect.Judge(resp.StatusCode, resp.Header)
 		if verdict.RequestID == "" || verdict.RequestID == req.ID {
 			a.resp, a.Verdict = resp, verdict
-			a.client.heard(a.target, verdict, req.ID)
+			a.client.reportLeaving(a.target, verdict, req.ID)
 			a.Status, a.Header, a.Length = resp.StatusCode, resp.Header, resp.ContentLength
 			return nil
 		}
-		if err := skip(resp); err != nil {
+		if err := discardStray(resp); err != nil {
 			return err
 		}
 	}
 	return errStray
 }
 
-// heard passes on what an answer says of its endpoint. Only one that names the request is the endpoint's own; one from
-// another endpoint at the address says nothing of the one addressed.
-func (c *Client) heard(target Target, v dialect.Verdict, id string) {
+// reportLeaving calls Events.Leaving if the response says that the endpoint is about to terminate. Only a response
+// that names the request is the endpoint's own. A misdirected request was answered by another endpoint at the
+// address, whose response says nothing about the endpoint addressed.
+func (c *Client) reportLeaving(target Target, v dialect.Verdict, id string) {
 	if v.Leaving && v.RequestID == id && !v.Misdirected && c.events.Leaving != nil {
 		c.events.Leaving(target)
 	}
 }
 
-// skip reads the body of an answer to another request.
-func skip(resp *http.Response) error {
+// discardStray reads the body of a stray response to its end, so that the next response can be read.
+func discardStray(resp *http.Response) error {
 	if resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 		return errStray
 	}
@@ -213,43 +222,46 @@
 	return err
 }
 
-// maxUnstated bounds a body whose length is not stated, in bytes: such a body is held until its end shows that it has one.
-const maxUnstated = 8 << 20
+// maxUnstatedLength bounds a body whose length is not stated, in bytes. Such a body is held in memory until its
+// end has arrived, because it might have no end.
+const maxUnstatedLength = 8 << 20
 
-// errEndlessBody says that a body whose length is not stated does not end.
-var errEndlessBody = errors.New("the body of the answer does not end")
+// errBodyTooLarge says that a body whose length is not stated exceeds maxUnstatedLength.
+var errBodyTooLarge = errors.New("response body without a stated length is larger than 8 MiB")
 
-// Read reads from the body. It returns io.EOF only at the end of a whole body.
+// Read reads from the body. It returns io.EOF only at the end of a complete body.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.resp.Body.Read(p)
-	if a.read += int64(n); a.Length < 0 && a.read > maxUnstated {
-		return 0, errEndlessBody
+	if a.bodyRead += int64(n); a.Length < 0 && a.bodyRead > maxUnstatedLength {
+		return 0, errBodyTooLarge
 	}
 	if err == io.EOF {
-		a.whole = true
+		a.complete = true
 	}
 	return n, err
 }
 
-// Close ends the use of the answer. Its connection is kept if the body was read to its end and the
-// endpoint keeps it too.
+// Close releases the connection of the response. The connection is kept for further requests if the body was
+// read to its end and the endpoint keeps the connection open too, and is closed otherwise.
 func (a *Answer) Close() {
-	if !a.stop() || !a.reusable() {
+	if !a.stopWatch() || !a.reusable() {
 		_ = a.conn.Close()
 		return
 	}
 	now := time.Now()
-	a.conn.keep(a.Header, now)
+	a.conn.markIdle(a.Header, now)
 	a.client.pools.put(a.target, a.conn, now)
 }
 
+// reusable reports whether the connection is in a state to carry another request: the response has been read to
+// a stated end, the endpoint keeps the connection open, and no further bytes have arrived.
 func (a *Answer) reusable() bool {
 	framed := a.Length >= 0 || len(a.resp.TransferEncoding) > 0
-	return a.whole && framed && !a.resp.Close && !a.Verdict.Closes && a.conn.reader.Buffered() == 0
+	return a.complete && framed && !a.resp.Close && !a.Verdict.Closes && a.conn.reader.Buffered() == 0
 }
 
 // abandon closes the connection of a request that has failed.
 func (a *Answer) abandon() {
-	a.stop()
+	a.stopWatch()
 	_ = a.conn.Close()
 }
--- a/pkg/upstream/upstream_test.go
+++ b/pkg/upstream/upstream_test.go
@@ -16,7 +16,7 @@
 	"github.com/mallowlink/mallowlink/pkg/dialect"
 )
 
-// testDialect reads the few headers that matter here.
+// testDialect reads only the headers that these tests use.
 type testDialect struct{ dialect.Dialect }
 
 func (testDialect) Judge(status int, h http.Header) dialect.Verdict {
@@ -26,7 +26,7 @@
 	}
 }
 
-// endpoint is a server whose connections are handled by a script.
+// endpoint is a fake endpoint on the loopback interface. A script function handles each connection.
 type endpoint struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -34,6 +34,7 @@
 	seen     []string
 }
 
+// listen starts an endpoint, which is stopped at the end of the test.
 func listen(t *testing.T, script func(e *endpoint, c net.Conn, r *bufio.Reader)) *endpoint {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -85,7 +86,7 @@
 	return req.Header.Get("Id"), string(body), true
 }
 
-func answer(id, body string) string {
+func response(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
@@ -106,7 +107,8 @@
 	return Request{Method: http.MethodPost, URI: "/a/b?c=%2F", Host: "one.example", Header: http.Header{"Id": {id}}, Body: []byte("hello"), ID: id}
 }
 
-// echo answers each request with its own identifier, after before, and before after.
+// echo returns a script that responds to each request with the request's identifier and body. The bytes in before
+// precede each response, and those in after follow it.
 func echo(before, after string) func(e *endpoint, c net.Conn, r *bufio.Reader) {
 	return func(e *endpoint, c net.Conn, r *bufio.Reader) {
 		for {
@@ -114,7 +116,7 @@
 			if !ok {
 				return
 			}
-			if _, err := io.WriteString(c, before+answer(id, body+"!")+after); err != nil {
+			if _, err := io.WriteString(c, before+response(id, body+"!")+after); err != nil {
 				return
 			}
 		}
@@ -140,17 +142,18 @@
 	require.Equal(t, "POST /a/b?c=%2F one.example", e.seen[0])
 }
 
-// An answer to another request, where this one's is expected, is skipped.
-func TestStrayAnswersAreSkipped(t *testing.T) {
-	e := listen(t, echo(answer("stray", "not yours"), ""))
+// A response to another request must be skipped, not taken for the response to this one.
+func TestStrayResponsesAreSkipped(t *testing.T) {
+	e := listen(t, echo(response("stray", "not yours"), ""))
 	a, err := newClient(t).Send(t.Context(), e.target(), request("1"))
 	require.NoError(t, err)
 	require.Equal(t, "hello!", readAll(t, a))
 }
 
-// A connection with bytes behind the answer is not used again.
-func TestBytesBehindAnAnswerEndTheConnection(t *testing.T) {
-	e := listen(t, echo("", answer("1", "again")))
+// A connection with further bytes after the response must not be reused: the next request would take them for
+// its response.
+func TestExtraBytesAfterResponseCloseConnection(t *testing.T) {
+	e := listen(t, echo("", response("1", "again")))
 	client := newClient(t)
 	for _, id := range []string{"1", "2"} {
 		a, err := client.Send(t.Context(), e.target(), request(id))
@@ -161,8 +164,8 @@
 	require.Equal(t, 2, e.connections())
 }
 
-// Bytes that arrive on an idle connection end it too.
-func TestBytesOnAnIdleConnectionEndIt(t *testing.T) {
+// A connection on which bytes arrive while it is idle must not be reused either.
+func TestBytesOnIdleConnectionCloseIt(t *testing.T) {
 	sent := make(chan struct{})
 	e := listen(t, func(e *endpoint, c net.Conn, r *bufio.Reader) {
 		for {
@@ -170,11 +173,11 @@
 			if !ok {
 				return
 			}
-			_, _ = io.WriteString(c, answer(id, "x"))
+			_, _ = io.WriteString(c, response(id, "x"))
 			if id == "1" {
-				// The client must have taken the answer before the extra bytes arrive.
+				// The client must have read the response before the extra bytes arrive.
 				<-sent
-				_, _ = io.WriteString(c, answer("1", "late"))
+				_, _ = io.WriteString(c, response("1", "late"))
 				sent <- struct{}{}
 			}
 		}
@@ -192,8 +195,9 @@
 	require.Equal(t, 2, e.connections())
 }
 
-// The end of the connection ends a body without a length; a body with one must be whole.
-func TestBodiesAreWhole(t *testing.T) {
+// The end of the connection ends a body without a stated length. A body with a stated length or in chunks must
+// arrive whole, or reading it fails.
+func TestTruncatedBodiesFail(t *testing.T) {
 	for name, c := range map[string]struct {
 		head, body string
 		want       string
@@ -220,8 +224,8 @@
 	}
 }
 
-// A body that a reset ends is not whole, even without a length.
-func TestAResetBodyIsNotWhole(t *testing.T) {
+// A body that is cut off by a connection reset must not pass as complete, even if its length is not stated.
+func TestBodyCutByResetFails(t *testing.T) {
 	e := listen(t, func(e *endpoint, conn net.Conn, r *bufio.Reader) {
 		if _, _, ok := e.read(r); ok {
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nsome")
@@ -236,7 +240,8 @@
 	require.Error(t, err)
 }
 
-// Only a request of which nothing was sent counts as not sent.
+// A request counts as not sent only if no connection was made. If it was written and the response is missing or
+// malformed, it counts as sent, because the endpoint may have executed it.
 func TestSentOrNot(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -258,8 +263,8 @@
 	}
 }
 
-// When the request's context ends, the endpoint sees its connection end.
-func TestAnEndedContextEndsTheConnection(t *testing.T) {
+// When the request's context ends, the connection is closed, so that the endpoint can stop working on the request.
+func TestCanceledContextClosesConnection(t *testing.T) {
 	ended := make(chan struct{})
 	arrived := make(chan struct{})
 	e := listen(t, func(e *endpoint, _ net.Conn, r *bufio.Reader) {
@@ -279,8 +284,9 @@
 	<-ended
 }
 
-// A connection is not used close to the end of the time that its endpoint keeps it.
-func TestKeepAliveIsKeptTo(t *testing.T) {
+// A connection must not be used shortly before the end of the time for which its endpoint keeps it open. The
+// endpoint might close it while a request is in transit.
+func TestKeepAliveTimeoutIsRespected(t *testing.T) {
 	e := listen(t, func(e *endpoint, c net.Conn, r *bufio.Reader) {
 		for {
 			id, _, ok := e.read(r)
@@ -296,12 +302,13 @@
 	readAll(t, a)
 	now := time.Now()
 	c := client.pools.pop(e.target(), now)
-	require.True(t, c.fresh(now.Add(time.Second)))
-	require.False(t, c.fresh(now.Add(2*time.Second)))
+	require.True(t, c.reusable(now.Add(time.Second)))
+	require.False(t, c.reusable(now.Add(2*time.Second)))
 	_ = c.Close()
 }
 
-func TestASkippedAnswerMustBeFramed(t *testing.T) {
+// A stray response without a stated length can't be skipped, because its end is not known.
+func TestStrayResponseMustStateLength(t *testing.T) {
 	e := listen(t, echo("HTTP/1.1 200 OK\r\nId: stray\r\n\r\nno end", ""))
 	_, err := newClient(t).Send(t.Context(), e.target(), request("1"))
 	require.ErrorIs(t, err, errStray)
@@ -318,7 +325,8 @@
 	require.True(t, strings.HasPrefix(e.seen[0], "POST"))
 }
 
-// An ended connection is told from an answer that is none and from a time that is over.
+// Ended tells a closed connection, also one that was cut within the head of a response, from a malformed response
+// and from a timeout.
 func TestEnded(t *testing.T) {
 	for name, c := range map[string]struct {
 		script func(e *endpoint, c net.Conn, r *bufio.Reader)
@@ -345,11 +353,12 @@
 	require.False(t, Ended(nil))
 }
 
-// Only an endpoint's own answer to the request says that the endpoint leaves.
-func TestLeavingIsHeardFromTheEndpointItselfOnly(t *testing.T) {
+// Events.Leaving is called only for an endpoint's own response to the request. Responses without the request's
+// identifier, to another request or from another endpoint at the address must not count.
+func TestLeavingIsReportedOnlyByTheEndpointItself(t *testing.T) {
 	for name, c := range map[string]struct {
-		head  string
-		heard int
+		head     string
+		reported int
 	}{
 		"its own":          {"200 OK\r\nId: a\r\nGoing: 1", 1},
 		"a rejection":      {"503 Busy\r\nId: a\r\nGoing: 1", 1},
@@ -363,15 +372,15 @@
 			_, _ = io.WriteString(conn, "HTTP/1.1 "+c.head+"\r\nContent-Length: 0\r\n\r\n")
 		})
 		pools := NewPools()
-		heard := 0
+		reported := 0
 		client := NewClient(pools, testDialect{}, Events{Leaving: func(target Target) {
 			require.Equal(t, e.target(), target)
-			heard++
+			reported++
 		}})
 		if answer, err := client.Send(t.Context(), e.target(), request("a")); err == nil {
 			answer.Close()
 		}
 		pools.Close()
-		require.Equal(t, c.heard, heard, name)
+		require.Equal(t, c.reported, reported, name)
 	}
 }
