--- a/pkg/follow/follow_test.go
+++ b/pkg/follow/follow_test.go
@@ -93,7 +93,7 @@
 }
 
 // runFollower runs do beside a running Follower in a synctest bubble. seen returns the rows that the
-// Follower last reported to Config.Changed.
+// Follower last reported.
 func runFollower(t *testing.T, wait, pause time.Duration, do func(feed *fakeFeed, f *Follower, seen func() map[string]string)) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
--- a/pkg/membership/heartbeat.go
+++ b/pkg/membership/heartbeat.go
@@ -57,7 +57,7 @@
 }
 
 // recordCall records a heartbeat that another VM has sent. The heartbeat may have been in transit for
-// a long time, so it updates the VM's record but does not count as an Answer.
+// a long time, so it updates the VM's record but does not count as a reply to this VM.
 func (r *Registry) recordCall(beat Beat) {
 	if beat.ID == r.cfg.ID || beat.ID == "" {
 		return
@@ -67,8 +67,8 @@
 	_, changed := r.recordBeat(beat, time.Time{})
 	r.mu.Unlock()
 	if beat.Status.StoreDown && !wasDown {
-		// While the table is down, leases may depend on how soon this VM gets the other VM's report in a
-		// reply to a heartbeat of its own.
+		// Leases may depend on how soon this VM gets the other VM's report in a reply to a heartbeat of
+		// its own.
 		r.Announce()
 	}
 	if changed {
--- a/pkg/membership/observe.go
+++ b/pkg/membership/observe.go
@@ -13,7 +13,7 @@
 	ID          string
 	Incarnation string
 	PeerAddress string
-	// Renewed says that the VM has written its row since the previous Sighting.
+	// Renewed says that the VM has written its row since this VM last read it.
 	Renewed  bool
 	Draining bool
 }
@@ -35,7 +35,7 @@
 		rec.machine = chart.NewMachine(vmChart)
 		rec.member.Incarnation = seen.Incarnation
 		rec.member.PeerAddress = seen.PeerAddress
-		// While the table is down, leases may depend on how soon this VM has a report of the other VM.
+		// Leases may depend on how soon this VM gets a reply from the new incarnation.
 		r.Announce()
 	}
 	if !seen.Renewed || seen.Incarnation != rec.member.Incarnation || rec.goneIncarnations[seen.Incarnation] {
--- a/pkg/membership/registry.go
+++ b/pkg/membership/registry.go
@@ -12,7 +12,7 @@
 	"github.com/mallowlink/mallowlink/pkg/platform"
 )
 
-// Default settings of the registry.
+// Defaults of the settings in Config.
 const (
 	DefaultBeatInterval = time.Second
 	DefaultBeatTimeout  = 2500 * time.Millisecond
--- a/pkg/membership/registry_test.go
+++ b/pkg/membership/registry_test.go
@@ -100,7 +100,8 @@
 	})
 }
 
-// A VM that cannot be reached may still be running, so it is not gone while the platform lists it.
+// A VM that cannot be reached may still be running, so it is not gone while the platform lists it. Once it is
+// also off the list, it is gone.
 func TestUnresponsiveListedVMIsNotGone(t *testing.T) {
 	runPair(t, func(t *testing.T, p *pair) {
 		p.net.SetCut("a:1", "b:1", true)
--- a/pkg/upstream/conn.go
+++ b/pkg/upstream/conn.go
@@ -31,11 +31,12 @@
 	headBytesLeft int
 }
 
-// maxHeadBytes bounds the head of a response. Endpoints send heads of a few hundred bytes.
+// maxHeadBytes bounds the head of a response, because input from an endpoint might never end as a head. Endpoints
+// send heads of a few hundred bytes.
 const maxHeadBytes = 8 << 10
 
 // errHeadTooLarge says that the head of a response exceeds maxHeadBytes.
-var errHeadTooLarge = errors.New("response head is larger than 8 KiB")
+var errHeadTooLarge = errors.Errorf("response head exceeds %d bytes", maxHeadBytes)
 
 // readBufferSize is the size of a connection's read buffer, in bytes. Most events and responses fit in it.
 const readBufferSize = 2 << 10
--- a/pkg/upstream/pool.go
+++ b/pkg/upstream/pool.go
@@ -27,7 +27,7 @@
 	Address string
 }
 
-// entry holds the idle connections to one target.
+// pool holds the idle connections to one target.
 type pool struct {
 	idle []*conn
 	// lastUse is when a connection was last taken from the pool or put back.
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -79,7 +79,7 @@
 }
 
 // Send sends the request and returns once the head of its response has arrived. When ctx ends, the
-// connection is closed. The error is an *Error. The calling code must close the Answer.
+// connection is closed. The error is an *Error. The calling code must close the response.
 func (c *Client) Send(ctx context.Context, target Target, req Request) (*Answer, error) {
 	now := time.Now()
 	cn := c.pools.take(target, now)
@@ -201,7 +201,7 @@
 	return errStray
 }
 
-// reportLeaving calls Events.Leaving if the response says that the endpoint is about to terminate. Only a response
+// reportLeaving fires the leaving event if the response says that the endpoint is about to terminate. Only a response
 // that names the request is the endpoint's own. A misdirected request was answered by another endpoint at the
 // address, whose response says nothing about the endpoint addressed.
 func (c *Client) reportLeaving(target Target, v dialect.Verdict, id string) {
@@ -227,7 +227,7 @@
 const maxUnstatedLength = 8 << 20
 
 // errBodyTooLarge says that a body whose length is not stated exceeds maxUnstatedLength.
-var errBodyTooLarge = errors.New("response body without a stated length is larger than 8 MiB")
+var errBodyTooLarge = errors.Errorf("response body without a stated length exceeds %d bytes", maxUnstatedLength)
 
 // Read reads from the body. It returns io.EOF only at the end of a complete body.
 func (a *Answer) Read(p []byte) (int, error) {
--- a/pkg/upstream/upstream_test.go
+++ b/pkg/upstream/upstream_test.go
@@ -325,8 +325,8 @@
 	require.True(t, strings.HasPrefix(e.seen[0], "POST"))
 }
 
-// Ended tells a closed connection, also one that was cut within the head of a response, from a malformed response
-// and from a timeout.
+// A closed connection, also one that was cut within the head of a response, must be distinguished from a malformed
+// response and from a timeout.
 func TestEnded(t *testing.T) {
 	for name, c := range map[string]struct {
 		script func(e *endpoint, c net.Conn, r *bufio.Reader)
@@ -353,7 +353,7 @@
 	require.False(t, Ended(nil))
 }
 
-// Events.Leaving is called only for an endpoint's own response to the request. Responses without the request's
+// An endpoint counts as leaving only by its own response to the request. Responses without the request's
 // identifier, to another request or from another endpoint at the address must not count.
 func TestLeavingIsReportedOnlyByTheEndpointItself(t *testing.T) {
 	for name, c := range map[string]struct {
