--- a/pkg/scheduler/api.go
+++ b/pkg/scheduler/api.go
@@ -1,8 +1,10 @@
-// Package scheduler decides, for one group of endpoints and on behalf of its owner, which request
-// runs next and where, and which adapter is loaded next, where and in whose place. It is pure: time
-// and randomness are passed in, and it does no I/O. It is not safe for concurrent use.
+// Package scheduler decides, for one group of endpoints, which request runs next and on which endpoint,
+// and which adapter is loaded next, where, and which adapter is evicted for it. The package is pure: the
+// owner of the group passes in time and randomness, and the package does no I/O. A Scheduler is not safe
+// for concurrent use.
 //
-// The owner tells it of arrivals, starts, ends, loads and reports, and calls Decide after each.
+// The owner is the VM that holds the lease on the group. It reports arrivals, the ends of requests, the
+// results of loads, and load reports to the scheduler, and calls Decide after each of these events.
 package scheduler
 
 import (
@@ -14,7 +16,7 @@
 	"github.com/mallowlink/mallowlink/pkg/work"
 )
 
-// Item is one attempt as the scheduler sees it.
+// Item describes one attempt to run a request.
 type Item struct {
 	ID      work.AttemptID
 	Account string
@@ -26,9 +28,10 @@
 	Tokens     int64
 	Deadline   time.Time
 	Exclude    []string
-	// Isolated asks for an endpoint on which no other isolated item runs.
+	// Isolated restricts the item to endpoints on which no other isolated item runs.
 	Isolated bool
-	// Endpoint pins the item to one endpoint, to resume a stream there; empty otherwise.
+	// Endpoint restricts the item to one endpoint, in order to resume a stream there. It is empty for
+	// all other items.
 	Endpoint string
 }
 
@@ -37,31 +40,31 @@
 	Name       string
 	Slots      int
 	MaxRunning int
-	// Service marks a plain service, which needs no adapters.
+	// Service marks a plain service, which uses no adapters.
 	Service bool
 	// ChecksFencing says that the endpoint refuses orders with an old fencing number.
 	ChecksFencing bool
 	Leaving       bool
 }
 
-// ActionKind tells what an Action asks the owner to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // Kinds of action.
 const (
 	// Dispatch starts item ID on Endpoint now.
 	Dispatch ActionKind = iota + 1
-	// Load loads Adapter on Endpoint. If Victim is not zero it is unloaded first.
+	// Load loads Adapter on Endpoint. If Victim is not zero, the owner unloads Victim first.
 	Load
-	// Unload gives back a replica that is no longer needed.
+	// Unload unloads a replica that is no longer needed.
 	Unload
-	// Refuse ends item ID, which has not run, with Err.
+	// Refuse ends item ID with Err. The item has not run.
 	Refuse
-	// Role sets Endpoint's role to Role.
+	// Role sets the role of Endpoint to the Role field.
 	Role
 )
 
-// Action is one order to the owner.
+// Action is a decision that the owner carries out.
 type Action struct {
 	Kind     ActionKind
 	ID       work.AttemptID
@@ -72,47 +75,55 @@
 	Err      *result.Error
 }
 
-// LoadPermits is the owner's share of the fleet-wide load budget.
+// LoadPermits gives access to the owner's share of the fleet-wide load budget.
 type LoadPermits interface {
-	// TryTake takes the permit for one load at now. The owner releases it when the load has ended.
+	// TryTake takes a permit for one load at now and reports whether it got one. The owner releases
+	// the permit when the load has ended.
 	TryTake(now time.Time) bool
 }
 
-// Scheduler is what the owner of a group drives. Decide returns the actions that follow from all
-// that it has been told; the owner carries out every one of them.
+// Scheduler plans the work of one group of endpoints. The owner of the group reports events to it.
+// Decide returns the actions that follow from all events so far, and the owner carries out every one
+// of them.
 type Scheduler interface {
-	// SetEndpoints replaces the group's endpoints. A leaving endpoint gets no new work.
+	// SetEndpoints replaces the endpoints of the group. An endpoint that is leaving gets no new work.
 	SetEndpoints(now time.Time, specs []EndpointSpec)
-	// Enqueue adds an item, or refuses it, by an error of outcome not-run.
+	// Enqueue adds an item to the queue, or refuses it with an error whose outcome is not-run.
 	Enqueue(now time.Time, item Item) *result.Error
-	// Remove takes an item out of the queue. It reports false if it is not queued any more.
+	// Remove removes an item from the queue. It reports false if the item is no longer queued.
 	Remove(now time.Time, id work.AttemptID) bool
-	// Finished says that a dispatched item has ended. used is the tokens that it really cost.
-	// refused says that the endpoint did not run it, because it lacked the adapter or was busy.
+	// Finished reports that a dispatched item has ended. The number of tokens that it cost in the end
+	// is used. A non-nil refused means that the endpoint did not run the item, because it lacked the
+	// adapter or was busy.
 	Finished(now time.Time, id work.AttemptID, used int64, refused error)
-	// Loaded ends a Load action.
+	// Loaded reports the result of a Load action.
 	Loaded(now time.Time, endpoint string, adapter endpoint.AdapterVersion, err error)
-	// Unloaded ends an Unload action.
+	// Unloaded reports the result of an Unload action.
 	Unloaded(now time.Time, endpoint string, adapter endpoint.AdapterVersion, err error)
-	// Report takes in a load report. A new incarnation empties the view of the endpoint.
+	// Report applies a load report. A report of a new incarnation clears what the scheduler has
+	// recorded of the endpoint.
 	Report(now time.Time, endpoint string, report endpoint.LoadReport)
-	// Unreachable says that the endpoint does not answer or has crashed.
+	// Unreachable reports that the endpoint does not respond or has crashed.
 	Unreachable(now time.Time, endpoint string)
-	// CacheEvents takes in cache events; gap says that events were lost before them.
+	// CacheEvents applies prefix cache events of the endpoint. With gap set, events before these were
+	// lost.
 	CacheEvents(now time.Time, endpoint string, events []endpoint.CacheEvent, gap bool)
-	// TakenOver says that another owner's orders and requests may still be there: every adapter that
-	// the endpoint reports counts as in use until a report taken after now shows that it is idle, and,
-	// unless previousGone, no adapter that was about to be evicted is given work on endpoints that do
-	// not check fencing (see AvoidAdapter).
+	// TakenOver reports that orders and requests of a previous owner may still be in progress. Every
+	// adapter that an endpoint reports counts as in use until a report taken after now shows that it
+	// is idle. Unless previousGone is set, no adapter that was about to be evicted is given work on
+	// endpoints that do not check fencing (see AvoidAdapter).
 	TakenOver(now time.Time, previousGone bool)
-	// AvoidAdapter keeps work for the adapter off the endpoint until AllowAdapter.
+	// AvoidAdapter prevents work for the adapter from being dispatched to the endpoint, and the
+	// adapter from being loaded there, until AllowAdapter is called.
 	AvoidAdapter(endpoint string, adapter endpoint.AdapterVersion)
+	// AllowAdapter ends the effect of AvoidAdapter.
 	AllowAdapter(endpoint string, adapter endpoint.AdapterVersion)
 	// Decide returns the actions that are due at now.
 	Decide(now time.Time) []Action
-	// NextWake returns when Decide must be called again if nothing happens before; zero if never.
+	// NextWake returns the time at which Decide must be called again if no event happens before, or
+	// the zero time if there is none.
 	NextWake() time.Time
-	// Snapshot describes queues, endpoints and adapters for the state dump.
+	// Snapshot returns the state of queues, endpoints and adapters for the state dump.
 	Snapshot(now time.Time) Snapshot
 }
 
@@ -122,7 +133,7 @@
 	Endpoints []EndpointState `json:"endpoints"`
 }
 
-// QueueState describes the waiting items of one client account and class.
+// QueueState describes the queued items of one client account and class.
 type QueueState struct {
 	Account string        `json:"account"`
 	Class   bundle.Class  `json:"class"`
--- a/pkg/scheduler/bench_test.go
+++ b/pkg/scheduler/bench_test.go
@@ -17,15 +17,16 @@
 
 func (noPermits) TryTake(time.Time) bool { return false }
 
-// sizes are the adapters and endpoints that one owner serves.
+// sizes lists the numbers of adapters and endpoints that one owner serves.
 var sizes = []struct{ adapters, endpoints int }{{3000, 9}, {3000, 24}, {10000, 24}, {26000, 24}}
 
-// newLoaded returns a scheduler that knows the adapters and has some of them on each endpoint.
-func newLoaded(adapters, endpoints int) *scheduler {
+// newPopulatedScheduler returns a scheduler that has a request rate recorded for every adapter and a
+// full set of resident adapters on each endpoint.
+func newPopulatedScheduler(adapters, endpoints int) *scheduler {
 	const slots = 24
 	s := New(Config{QueueLimit: adapters * 2, AccountQueueLimit: adapters * 2}, rand.New(rand.NewSource(1)), noPermits{}).(*scheduler)
-	s.SetEndpoints(epoch, engineSpecs(endpoints, slots, 64))
-	for i, e := range s.engines {
+	s.SetEndpoints(epoch, endpointSpecs(endpoints, slots, 64))
+	for i, e := range s.endpoints {
 		report := endpoint.LoadReport{Incarnation: "1", Slots: slots}
 		for j := range slots {
 			report.Loaded = append(report.Loaded, endpoint.LoadedAdapter{AdapterVersion: version(i*slots + j)})
@@ -33,7 +34,7 @@
 		s.Report(epoch, e.spec.Name, report)
 	}
 	for i := range adapters {
-		s.adapter(version(i)).touch(epoch, s.cfg.RateHalfLife, 1)
+		s.adapter(version(i)).recordRequest(epoch, s.cfg.RateHalfLife, 1)
 	}
 	return s
 }
@@ -42,7 +43,7 @@
 func BenchmarkHotPath(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("adapters=%d/endpoints=%d", size.adapters, size.endpoints), func(b *testing.B) {
-			s := newLoaded(size.adapters, size.endpoints)
+			s := newPopulatedScheduler(size.adapters, size.endpoints)
 			items := make([]Item, size.endpoints*24)
 			for i := range items {
 				items[i] = item(i, accountOf(i), i)
@@ -65,12 +66,12 @@
 	}
 }
 
-// BenchmarkColdQueue measures the same while one batch item waits for each adapter that is not
-// resident, and the load budget is spent.
+// BenchmarkColdQueue measures Enqueue, Decide and Finished for a resident adapter while one batch
+// item waits for each adapter that is not resident and the load budget is spent.
 func BenchmarkColdQueue(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("adapters=%d/endpoints=%d", size.adapters, size.endpoints), func(b *testing.B) {
-			s := newLoaded(size.adapters, size.endpoints)
+			s := newPopulatedScheduler(size.adapters, size.endpoints)
 			for i := size.endpoints * 24; i < size.adapters; i++ {
 				it := item(i, accountOf(i), i)
 				it.Class = bundle.Batch
--- a/pkg/scheduler/charts.go
+++ b/pkg/scheduler/charts.go
@@ -62,7 +62,7 @@
 		})
 )
 
-// Charts returns the state charts that the package interprets.
+// Charts returns the state charts that this package interprets.
 func Charts() []*chart.Chart {
 	return []*chart.Chart{endpointChart, adapterChart}
 }
--- a/pkg/scheduler/config.go
+++ b/pkg/scheduler/config.go
@@ -2,55 +2,62 @@
 
 import "time"
 
-// Config holds the scheduler's settings. Zero values take the defaults of DefaultConfig.
+// Config holds the settings of the scheduler. Fields that are zero take the values of DefaultConfig.
 type Config struct {
-	// PrefixBonus is how much more utilised an endpoint that is believed to have a prompt's prefix
-	// cached may be than the one that would be chosen otherwise.
+	// PrefixBonus is how much higher the utilisation of an endpoint may be than that of the endpoint
+	// chosen otherwise, if the former is expected to have the prefix of the prompt cached.
 	PrefixBonus float64
-	// QueueLimit bounds the items that wait for the group.
+	// QueueLimit is the maximum number of items queued for the group.
 	QueueLimit int
-	// AccountQueueLimit bounds the items of one client account that wait for the group.
+	// AccountQueueLimit is the maximum number of items of one client account queued for the group.
 	AccountQueueLimit int
-	// BatchShare is the part of an endpoint's tokens that waiting batch items get while interactive
-	// items wait too.
+	// BatchShare is the share of an endpoint's tokens that queued batch items get while interactive
+	// items are queued too.
 	BatchShare float64
-	// BatchLoadShare is the part of the loads that batch items get while interactive ones want them too.
+	// BatchLoadShare is the share of the loads that batch items get while interactive items need
+	// loads too.
 	BatchLoadShare float64
-	// BatchRunningShare is the part of an endpoint's MaxRunning that batch items may take.
+	// BatchRunningShare is the share of an endpoint's MaxRunning that batch items may occupy.
 	BatchRunningShare float64
-	// GatherDelay is how long batch items for a cold adapter wait for others to share its load.
+	// GatherDelay is how long a batch item for an adapter that is not resident waits for other items
+	// to share the load.
 	GatherDelay time.Duration
-	// GatherItems is the number of waiting batch items that ends the gathering early.
+	// GatherItems is the number of queued batch items for an adapter at which its load no longer
+	// waits for GatherDelay.
 	GatherItems int
-	// ShareSlack is the multiple of its weight's share of the tokens up to which an
-	// account's loads are served in the order of arrival.
+	// ShareSlack is a multiple of an account's share of the tokens by weight. The loads of an account
+	// that stays within it are served in order of arrival.
 	ShareSlack float64
-	// ShareBurst is how far an account may be ahead of that multiple, ShareMemory how long being
-	// ahead counts.
+	// ShareBurst is how far an account may run ahead of the rate set by ShareSlack before its loads
+	// are put back. ShareMemory limits how far ahead an account is counted, and is the half-life of
+	// the measured token and load rates.
 	ShareBurst  time.Duration
 	ShareMemory time.Duration
-	// VictimPoll is the delay until the next try when no endpoint has an idle adapter.
+	// VictimPoll is the delay until the next attempt when no endpoint has an adapter that can be
+	// evicted.
 	VictimPoll time.Duration
 	// RateHalfLife is the half-life of the decayed request rate of an adapter.
 	RateHalfLife time.Duration
-	// ShiftOdds is the odds, before any silence, that an adapter has lost its popularity.
+	// ShiftOdds is the prior odds, before any time without requests, that an adapter is no longer in
+	// demand.
 	ShiftOdds float64
-	// ReplicaDelay is how long an item waits for a resident but busy adapter before the adapter is
-	// loaded on another endpoint.
+	// ReplicaDelay is how long an item waits for an adapter that is resident only on busy endpoints
+	// before the adapter is loaded on another endpoint.
 	ReplicaDelay time.Duration
 	// LoadAttempts is the number of failed loads of one adapter after which its items are refused.
 	LoadAttempts int
-	// LoadBackoff is the delay after the first failed load; it doubles with each further failure.
+	// LoadBackoff is the delay before an adapter is loaded again after its first failed load. It
+	// doubles with each further failure, up to LoadCooldown.
 	LoadBackoff time.Duration
-	// EndpointBackoff is how long an endpoint gets no loads after a failed one; it doubles with each
-	// further failure up to EndpointBackoffMax.
+	// EndpointBackoff is how long an endpoint gets no loads after a failed one. It doubles with each
+	// further failure, up to EndpointBackoffMax.
 	EndpointBackoff    time.Duration
 	EndpointBackoffMax time.Duration
-	// LoadCooldown is how long an adapter whose loads have failed LoadAttempts times is refused.
+	// LoadCooldown is how long the items of an adapter are refused after LoadAttempts failed loads.
 	LoadCooldown time.Duration
-	// PermitPoll is the delay until the next try when the load budget is spent.
+	// PermitPoll is the delay until the next attempt when the load budget is spent.
 	PermitPoll time.Duration
-	// EndpointGrace is how long items wait while no endpoint of the group answers.
+	// EndpointGrace is how long items stay queued while no endpoint of the group is usable.
 	EndpointGrace time.Duration
 	// ServiceRetry is how long an unreachable plain service gets no work.
 	ServiceRetry time.Duration
@@ -85,36 +92,36 @@
 	}
 }
 
-// withDefaults returns cfg with its zero values replaced.
+// withDefaults returns cfg with zero fields replaced by their defaults.
 func (cfg Config) withDefaults() Config {
 	d := DefaultConfig()
-	fill(&cfg.PrefixBonus, d.PrefixBonus)
-	fill(&cfg.QueueLimit, d.QueueLimit)
-	fill(&cfg.AccountQueueLimit, d.AccountQueueLimit)
-	fill(&cfg.BatchShare, d.BatchShare)
-	fill(&cfg.BatchLoadShare, d.BatchLoadShare)
-	fill(&cfg.BatchRunningShare, d.BatchRunningShare)
-	fill(&cfg.GatherDelay, d.GatherDelay)
-	fill(&cfg.GatherItems, d.GatherItems)
-	fill(&cfg.ShareSlack, d.ShareSlack)
-	fill(&cfg.ShareBurst, d.ShareBurst)
-	fill(&cfg.ShareMemory, d.ShareMemory)
-	fill(&cfg.VictimPoll, d.VictimPoll)
-	fill(&cfg.RateHalfLife, d.RateHalfLife)
-	fill(&cfg.ShiftOdds, d.ShiftOdds)
-	fill(&cfg.ReplicaDelay, d.ReplicaDelay)
-	fill(&cfg.LoadAttempts, d.LoadAttempts)
-	fill(&cfg.LoadBackoff, d.LoadBackoff)
-	fill(&cfg.EndpointBackoff, d.EndpointBackoff)
-	fill(&cfg.EndpointBackoffMax, d.EndpointBackoffMax)
-	fill(&cfg.LoadCooldown, d.LoadCooldown)
-	fill(&cfg.PermitPoll, d.PermitPoll)
-	fill(&cfg.EndpointGrace, d.EndpointGrace)
-	fill(&cfg.ServiceRetry, d.ServiceRetry)
+	setDefault(&cfg.PrefixBonus, d.PrefixBonus)
+	setDefault(&cfg.QueueLimit, d.QueueLimit)
+	setDefault(&cfg.AccountQueueLimit, d.AccountQueueLimit)
+	setDefault(&cfg.BatchShare, d.BatchShare)
+	setDefault(&cfg.BatchLoadShare, d.BatchLoadShare)
+	setDefault(&cfg.BatchRunningShare, d.BatchRunningShare)
+	setDefault(&cfg.GatherDelay, d.GatherDelay)
+	setDefault(&cfg.GatherItems, d.GatherItems)
+	setDefault(&cfg.ShareSlack, d.ShareSlack)
+	setDefault(&cfg.ShareBurst, d.ShareBurst)
+	setDefault(&cfg.ShareMemory, d.ShareMemory)
+	setDefault(&cfg.VictimPoll, d.VictimPoll)
+	setDefault(&cfg.RateHalfLife, d.RateHalfLife)
+	setDefault(&cfg.ShiftOdds, d.ShiftOdds)
+	setDefault(&cfg.ReplicaDelay, d.ReplicaDelay)
+	setDefault(&cfg.LoadAttempts, d.LoadAttempts)
+	setDefault(&cfg.LoadBackoff, d.LoadBackoff)
+	setDefault(&cfg.EndpointBackoff, d.EndpointBackoff)
+	setDefault(&cfg.EndpointBackoffMax, d.EndpointBackoffMax)
+	setDefault(&cfg.LoadCooldown, d.LoadCooldown)
+	setDefault(&cfg.PermitPoll, d.PermitPoll)
+	setDefault(&cfg.EndpointGrace, d.EndpointGrace)
+	setDefault(&cfg.ServiceRetry, d.ServiceRetry)
 	return cfg
 }
 
-func fill[T int | float64 | time.Duration](field *T, value T) {
+func setDefault[T int | float64 | time.Duration](field *T, value T) {
 	if *field == 0 {
 		*field = value
 	}
--- a/pkg/scheduler/dispatch.go
+++ b/pkg/scheduler/dispatch.go
@@ -11,67 +11,69 @@
 func (s *scheduler) Decide(now time.Time) []Action {
 	s.expire(now)
 	s.retryServices(now)
-	s.refuseUnreachable(now)
-	s.placeArrivals(now)
-	s.fillFreed(now)
+	s.refuseWithoutEndpoint(now)
+	s.dispatchNew(now)
+	s.fillEndpoints(now)
 	s.startLoads(now)
 	actions := s.actions
 	s.actions = nil
 	return actions
 }
 
-// expire refuses the queued items whose deadline has come.
+// expire refuses the queued items whose deadline has passed.
 func (s *scheduler) expire(now time.Time) {
 	for len(s.deadlines) > 0 && !s.deadlines[0].Deadline.After(now) {
 		s.refuse(s.deadlines[0], refusal(result.DeadlineTooNear, "the deadline has passed in the queue", s.retryAfter(now)))
 	}
 }
 
-// retryServices gives unreachable plain services another try.
+// retryServices makes plain services usable again whose retry time has come.
 func (s *scheduler) retryServices(now time.Time) {
-	for _, e := range s.engines {
+	for _, e := range s.endpoints {
 		if e.spec.Service && e.state == endpointDown && !now.Before(e.downUntil) {
 			e.fire(eventRetry)
 		}
 	}
 }
 
-// refuseUnreachable refuses every queued item when no endpoint has been usable for EndpointGrace.
-func (s *scheduler) refuseUnreachable(now time.Time) {
-	if slices.ContainsFunc(s.engines, (*engine).alive) {
-		s.noneSince = time.Time{}
+// refuseWithoutEndpoint refuses every queued item if no endpoint has been usable for EndpointGrace.
+func (s *scheduler) refuseWithoutEndpoint(now time.Time) {
+	if slices.ContainsFunc(s.endpoints, (*endpointView).alive) {
+		s.noEndpointSince = time.Time{}
 		return
 	}
-	if s.noneSince.IsZero() {
-		s.noneSince = now
+	if s.noEndpointSince.IsZero() {
+		s.noEndpointSince = now
 	}
-	if now.Sub(s.noneSince) < s.cfg.EndpointGrace {
+	if now.Sub(s.noEndpointSince) < s.cfg.EndpointGrace {
 		return
 	}
-	for len(s.waiters) > 0 {
-		r := s.waiters[0].lanes[0].head
+	for len(s.waitingAdapters) > 0 {
+		r := s.waitingAdapters[0].lanes[0].head
 		s.refuse(r, refusal(result.NoEndpoint, "no endpoint of the group answers", s.cfg.EndpointGrace))
 	}
 }
 
-// placeArrivals dispatches the new items for which an endpoint has room. Nothing else can be waiting
-// for that room: it would have been dispatched before.
-func (s *scheduler) placeArrivals(now time.Time) {
-	for i, r := range s.arrived {
-		s.arrived[i] = nil
+// dispatchNew dispatches the new items for which an endpoint has room. No older item can be waiting
+// for that room, because it would have been dispatched earlier.
+func (s *scheduler) dispatchNew(now time.Time) {
+	for i, r := range s.newRequests {
+		s.newRequests[i] = nil
 		if r.lane != nil {
-			s.placeArrival(now, r)
+			s.dispatchOrWait(now, r)
 		}
 	}
-	s.arrived = s.arrived[:0]
+	s.newRequests = s.newRequests[:0]
 }
 
-func (s *scheduler) placeArrival(now time.Time, r *request) {
+// dispatchOrWait dispatches the new item r, refuses it, or leaves it queued and records the load that
+// it needs.
+func (s *scheduler) dispatchOrWait(now time.Time, r *request) {
 	if r.Endpoint != "" {
-		s.placePinned(now, r)
+		s.dispatchPinned(now, r)
 		return
 	}
-	if len(r.Exclude) > 0 && !slices.ContainsFunc(s.engines, func(e *engine) bool { return allowed(r, e) }) {
+	if len(r.Exclude) > 0 && !slices.ContainsFunc(s.endpoints, func(e *endpointView) bool { return satisfiesConstraints(r, e) }) {
 		s.refuse(r, refusal(result.NoEndpoint, "every endpoint of the group has failed the request", 0))
 		return
 	}
@@ -81,22 +83,22 @@
 			return
 		}
 	}
-	s.want(r.lane)
+	s.updatePendingLoad(r.lane)
 	if r.class == batch && r.lane.adapter.waiting[batch] == s.cfg.GatherItems {
 		s.recheckAdapter(r.lane.adapter)
 	}
-	s.refuseHopeless(now, r)
+	s.refuseUnmeetableDeadline(now, r)
 }
 
-// placePinned dispatches an item that resumes a stream, for which its endpoint needs no room, or
-// refuses it at once.
-func (s *scheduler) placePinned(now time.Time, r *request) {
-	e, a := s.engine(r.Endpoint), r.lane.adapter
+// dispatchPinned dispatches an item that resumes a stream, or refuses it at once. The endpoint of the
+// stream needs no room for the item.
+func (s *scheduler) dispatchPinned(now time.Time, r *request) {
+	e, a := s.endpoint(r.Endpoint), r.lane.adapter
 	if e == nil || !e.alive() && e.state != endpointLeaving {
 		s.refuse(r, refusal(result.NoEndpoint, "the endpoint of the stream does not answer", 0))
 		return
 	}
-	p := a.on(e)
+	p := a.placementOn(e)
 	if a.version != noAdapter && (p == nil || p.state != adapterResident) {
 		s.refuse(r, refusal(result.NoEndpoint, "the endpoint of the stream has lost the adapter", 0))
 		return
@@ -105,30 +107,31 @@
 }
 
 // dispatch starts the queued request r on e.
-func (s *scheduler) dispatch(now time.Time, r *request, e *engine, p *placement) {
+func (s *scheduler) dispatch(now time.Time, r *request, e *endpointView, p *placement) {
 	a := r.lane.account
-	s.unqueue(r)
-	s.chargeFair(a, r)
-	r.ep, r.place = e, p
+	s.dequeue(r)
+	s.chargeTokens(a, r)
+	r.runsOn, r.placement = e, p
 	if p != nil {
 		p.running++
-		p.used = now
+		p.lastUsed = now
 	}
 	e.start(now, r)
 	if r.Isolated {
-		s.recheckEngine(e)
+		s.recheckEndpoint(e)
 	}
 	s.actions = append(s.actions, Action{Kind: Dispatch, ID: r.ID, Endpoint: e.spec.Name, Adapter: r.Adapter})
 }
 
-// fillFreed gives the room of endpoints on which something has ended to queued items.
-func (s *scheduler) fillFreed(now time.Time) {
-	for _, e := range s.engines {
-		if !e.freed {
+// fillEndpoints dispatches queued items to the endpoints that may have got room since the last
+// Decide.
+func (s *scheduler) fillEndpoints(now time.Time) {
+	for _, e := range s.endpoints {
+		if !e.mayHaveRoom {
 			continue
 		}
-		e.freed = false
-		for s.waiting > 0 {
+		e.mayHaveRoom = false
+		for s.queuedItems > 0 {
 			l, p := s.nextLane(e)
 			if l == nil {
 				break
@@ -138,54 +141,55 @@
 	}
 }
 
-// nextLane returns the lane whose head e should run next, by class, then by the account's virtual
-// token counter, then by arrival.
-func (s *scheduler) nextLane(e *engine) (*lane, *placement) {
-	if !e.room(interactive, s.cfg.BatchRunningShare) {
+// nextLane returns the lane whose head e should run next, and the placement of its adapter. Lanes are
+// ordered by class, then by the virtual token count of the account, then by arrival.
+func (s *scheduler) nextLane(e *endpointView) (*lane, *placement) {
+	if !e.hasRoom(interactive, s.cfg.BatchRunningShare) {
 		return nil, nil
 	}
-	var best [classes]*lane
-	var places [classes]*placement
-	for _, p := range e.places {
-		if p.state == adapterResident && p.adapter.index >= 0 {
-			s.bestLanes(e, p.adapter, p, &best, &places)
+	var best [classCount]*lane
+	var placements [classCount]*placement
+	for _, p := range e.placements {
+		if p.state == adapterResident && p.adapter.waitingIndex >= 0 {
+			s.bestLanes(e, p.adapter, p, &best, &placements)
 		}
 	}
-	if a := s.adapters[noAdapter]; a != nil && a.index >= 0 {
-		s.bestLanes(e, a, nil, &best, &places)
+	if a := s.adapters[noAdapter]; a != nil && a.waitingIndex >= 0 {
+		s.bestLanes(e, a, nil, &best, &placements)
 	}
-	if best[batch] != nil && !e.room(batch, s.cfg.BatchRunningShare) {
+	if best[batch] != nil && !e.hasRoom(batch, s.cfg.BatchRunningShare) {
 		best[batch] = nil
 	}
 	class := e.nextClass(best, s.cfg.BatchShare)
-	return best[class], places[class]
+	return best[class], placements[class]
 }
 
-// bestLanes replaces best by a's lanes where these come first.
-func (s *scheduler) bestLanes(e *engine, a *adapter, p *placement, best *[classes]*lane, places *[classes]*placement) {
+// bestLanes replaces the entries of best by those lanes of a that come before them.
+func (s *scheduler) bestLanes(e *endpointView, a *adapter, p *placement, best *[classCount]*lane, placements *[classCount]*placement) {
 	for _, l := range a.lanes {
 		c := l.class
-		if best[c] != nil && !before(l, best[c]) {
+		if best[c] != nil && !runsBefore(l, best[c]) {
 			continue
 		}
 		if s.mayRun(l, e) {
-			best[c], places[c] = l, p
+			best[c], placements[c] = l, p
 		}
 	}
 }
 
-// before reports whether l's head comes before m's, both of one class.
-func before(l, m *lane) bool {
-	a, b := l.account.served[l.class], m.account.served[m.class]
+// runsBefore reports whether the head of l runs before the head of m. Both lanes are of the same
+// class.
+func runsBefore(l, m *lane) bool {
+	a, b := l.account.virtualTokens[l.class], m.account.virtualTokens[m.class]
 	if l.account != m.account && a != b {
 		return a < b
 	}
 	return l.head.seq < m.head.seq
 }
 
-// nextClass chooses between the classes. Interactive items go first, but earn waiting batch items a
-// share of the tokens.
-func (e *engine) nextClass(best [classes]*lane, share float64) int {
+// nextClass returns the class to serve next. Interactive items go first, but each one dispatched
+// while batch items wait gives these credit for a share of its tokens.
+func (e *endpointView) nextClass(best [classCount]*lane, share float64) int {
 	if best[interactive] == nil {
 		return batch
 	}
@@ -200,38 +204,40 @@
 	return interactive
 }
 
-// mayRun reports whether the items of l may run on e, which has the adapter, leaving aside room.
-func (s *scheduler) mayRun(l *lane, e *engine) bool {
+// mayRun reports whether e, which has the adapter, may run items of l. It does not check whether e
+// has room.
+func (s *scheduler) mayRun(l *lane, e *endpointView) bool {
 	if !e.alive() {
 		return false
 	}
 	if len(e.avoided) > 0 && e.avoided[l.adapter.version] {
 		return false
 	}
-	return !l.constrained || allowed(l.head, e)
+	return !l.constrained || satisfiesConstraints(l.head, e)
 }
 
-// allowed applies the constraints of r, which is not pinned, to e.
-func allowed(r *request, e *engine) bool {
-	if r.Isolated && e.isolated > 0 {
+// satisfiesConstraints reports whether e meets the constraints of r, which is not pinned to an
+// endpoint.
+func satisfiesConstraints(r *request, e *endpointView) bool {
+	if r.Isolated && e.runningIsolated > 0 {
 		return false
 	}
 	return !slices.Contains(r.Exclude, e.spec.Name)
 }
 
-// homes counts the endpoints that have l's adapter and may run its items.
-func (s *scheduler) homes(l *lane) int {
+// countUsableEndpoints counts the endpoints that have l's adapter and may run its items.
+func (s *scheduler) countUsableEndpoints(l *lane) int {
 	n := 0
 	if l.adapter.version == noAdapter {
-		for _, e := range s.engines {
+		for _, e := range s.endpoints {
 			if s.mayRun(l, e) {
 				n++
 			}
 		}
 		return n
 	}
-	for _, p := range l.adapter.places {
-		if p.state == adapterResident && s.mayRun(l, p.ep) {
+	for _, p := range l.adapter.placements {
+		if p.state == adapterResident && s.mayRun(l, p.endpoint) {
 			n++
 		}
 	}
--- a/pkg/scheduler/events.go
+++ b/pkg/scheduler/events.go
@@ -12,21 +12,22 @@
 	"github.com/mallowlink/mallowlink/pkg/result"
 )
 
-// fire applies event to the endpoint's state. The chart declares no event an error.
-func (e *engine) fire(event chart.Event) {
+// fire applies event to the state of the endpoint. The chart accepts or ignores every event in every
+// state, so there is no error to handle.
+func (e *endpointView) fire(event chart.Event) {
 	next, err := endpointChart.Next(e.state, event)
 	if err != nil {
 		return
 	}
 	if next == endpointAlive && e.state != endpointAlive {
-		e.freed = true
+		e.mayHaveRoom = true
 	}
 	e.state = next
 }
 
-// settle brings e's state in line with whether it is leaving and whether it is a plain service,
-// which sends no reports.
-func (s *scheduler) settle(e *engine) {
+// syncState updates the state of e according to whether it is leaving and whether it is a plain
+// service, which sends no reports.
+func (s *scheduler) syncState(e *endpointView) {
 	if e.spec.Leaving || e.draining {
 		e.fire(eventLeave)
 		return
@@ -37,91 +38,95 @@
 	}
 }
 
-func (e *engine) start(now time.Time, r *request) {
+func (e *endpointView) start(now time.Time, r *request) {
 	e.running++
 	if r.class == batch {
-		e.batches++
+		e.runningBatch++
 	}
 	if r.Isolated {
-		e.isolated++
+		e.runningIsolated++
 	}
 	e.load.add(now, 1)
 }
 
-func (e *engine) finish(now time.Time, r *request) {
+func (e *endpointView) finish(now time.Time, r *request) {
 	e.running--
-	e.orphaned = e.orphaned && e.running > 0
+	e.hasOrphans = e.hasOrphans && e.running > 0
 	if r.class == batch {
-		e.batches--
+		e.runningBatch--
 	}
 	if r.Isolated {
-		e.isolated--
+		e.runningIsolated--
 	}
 	e.load.add(now, -1)
 }
 
-// place returns the adapter's placement on e, which is made if it is absent there.
-func (s *scheduler) place(now time.Time, a *adapter, e *engine) *placement {
-	if p := a.on(e); p != nil {
+// ensurePlacement returns the placement of a on e and creates it if there is none.
+func (s *scheduler) ensurePlacement(now time.Time, a *adapter, e *endpointView) *placement {
+	if p := a.placementOn(e); p != nil {
 		return p
 	}
-	p := &placement{adapter: a, ep: e, state: adapterAbsent, changed: now}
-	a.places = append(a.places, p)
-	e.places = append(e.places, p)
-	if e.orphaned {
-		s.adopt(p)
+	p := &placement{adapter: a, endpoint: e, state: adapterAbsent, stateChanged: now}
+	a.placements = append(a.placements, p)
+	e.placements = append(e.placements, p)
+	if e.hasOrphans {
+		s.adoptRequests(p)
 	}
 	return p
 }
 
-// adopt counts the running requests of an earlier placement of the adapter as p's.
-func (s *scheduler) adopt(p *placement) {
+// adoptRequests assigns to p the running requests that were dispatched to an earlier placement of its
+// adapter on the same endpoint.
+func (s *scheduler) adoptRequests(p *placement) {
 	for _, r := range s.requests {
-		if r.lane == nil && r.ep == p.ep && r.Adapter == p.adapter.version {
-			r.place = p
+		if r.lane == nil && r.runsOn == p.endpoint && r.Adapter == p.adapter.version {
+			r.placement = p
 			p.running++
 		}
 	}
 }
 
-// fire applies event to the placement's state and drops the placement when it has become absent.
+// fire applies event to the state of the placement, and deletes the placement if it has become
+// absent.
 func (s *scheduler) fire(now time.Time, p *placement, event chart.Event) error {
 	next, err := adapterChart.Next(p.state, event)
 	if err != nil {
 		return err
 	}
 	if next != p.state {
-		p.state, p.changed = next, now
+		p.state, p.stateChanged = next, now
 		s.recheckAdapter(p.adapter)
-		p.ep.freed = true
+		p.endpoint.mayHaveRoom = true
 	}
 	if next == adapterAbsent {
-		p.ep.removed[p.adapter.version] = now
-		p.ep.orphaned = p.ep.orphaned || p.running > 0
-		p.adapter.places = remove(p.adapter.places, p)
-		p.ep.places = remove(p.ep.places, p)
+		p.endpoint.removedAt[p.adapter.version] = now
+		p.endpoint.hasOrphans = p.endpoint.hasOrphans || p.running > 0
+		p.adapter.placements = remove(p.adapter.placements, p)
+		p.endpoint.placements = remove(p.endpoint.placements, p)
 	}
 	return nil
 }
 
-func remove(places []*placement, p *placement) []*placement {
-	if i := slices.Index(places, p); i >= 0 {
-		return slices.Delete(places, i, i+1)
+func remove(placements []*placement, p *placement) []*placement {
+	if i := slices.Index(placements, p); i >= 0 {
+		return slices.Delete(placements, i, i+1)
 	}
-	return places
+	return placements
 }
 
-// lose applies the loss of p. The chart ignores or accepts it in every state.
-func (s *scheduler) lose(now time.Time, p *placement) {
+// markLost records that the adapter of p is no longer on the endpoint. The chart ignores or accepts
+// this event in every state.
+func (s *scheduler) markLost(now time.Time, p *placement) {
 	_ = s.fire(now, p, eventLost)
 }
 
-// empty clears the view of e.
-func (s *scheduler) empty(now time.Time, e *engine) {
-	for _, p := range slices.Clone(e.places) {
-		s.lose(now, p)
+// clearView discards the placements, cached prefixes and load records of e. Requests of this owner
+// that are still running stay counted.
+func (s *scheduler) clearView(now time.Time, e *endpointView) {
+	for _, p := range slices.Clone(e.placements) {
+		s.markLost(now, p)
 	}
-	clear(e.removed)
+	clear(e.removedAt)
 	clear(e.prefixes)
 	e.load.reset()
 	for range e.running {
@@ -129,11 +134,11 @@
 	}
 }
 
-// noteRefusal takes in that e did not run a request that was sent to it.
-func (s *scheduler) noteRefusal(now time.Time, e *engine, p *placement, refused error) {
+// handleRefusal updates the view of e after it refused a request that was dispatched to it.
+func (s *scheduler) handleRefusal(now time.Time, e *endpointView, p *placement, refused error) {
 	switch {
 	case errors.Is(refused, endpoint.ErrNotLoaded) && p != nil:
-		s.lose(now, p)
+		s.markLost(now, p)
 	case errors.Is(refused, endpoint.ErrRefused):
 		s.Unreachable(now, e.spec.Name)
 	case errors.Is(refused, endpoint.ErrBusy):
@@ -143,59 +148,59 @@
 
 // Loaded implements Scheduler.
 func (s *scheduler) Loaded(now time.Time, name string, version endpoint.AdapterVersion, err error) {
-	e, a := s.engine(name), s.adapters[version]
+	e, a := s.endpoint(name), s.adapters[version]
 	s.loadsDue = true
-	s.permitAt = time.Time{}
+	s.nextPermitAt = time.Time{}
 	if e == nil || a == nil {
 		return
 	}
 	e.endOrder(version)
-	s.endVictim(now, e, a, err)
-	p := a.on(e)
+	s.finishEviction(now, e, a, err)
+	p := a.placementOn(e)
 	if p == nil || p.state != adapterLoading {
 		return
 	}
 	if err == nil {
-		s.budget.ended(now, now.Sub(p.changed))
+		s.loadBudget.recordLoad(now, now.Sub(p.stateChanged))
 		_ = s.fire(now, p, eventLoaded)
 		a.failures, a.failedOn, a.notBefore = 0, nil, time.Time{}
-		e.loadFailures, e.loadAfter = 0, time.Time{}
+		e.loadFailures, e.loadsNotBefore = 0, time.Time{}
 		return
 	}
 	_ = s.fire(now, p, eventLoadFailed)
 	if errors.Is(err, endpoint.ErrRefused) {
 		s.Unreachable(now, name)
 	}
-	if notTried(err) {
+	if notAttempted(err) {
 		a.notBefore = now.Add(s.cfg.LoadBackoff)
 		return
 	}
 	s.loadFailed(now, e, a)
 }
 
-// notTried reports whether a load failed for a reason that says nothing of the adapter.
-func notTried(err error) bool {
+// notAttempted reports whether a load failed for a reason that does not concern the adapter.
+func notAttempted(err error) bool {
 	return errors.Is(err, endpoint.ErrInUse) || errors.Is(err, endpoint.ErrFenced) ||
 		errors.Is(err, endpoint.ErrNoSlot) || errors.Is(err, endpoint.ErrRefused)
 }
 
-// endOrder counts the end of a load order.
-func (e *engine) endOrder(version endpoint.AdapterVersion) {
-	e.orders[version]--
-	if e.orders[version] <= 0 {
-		delete(e.orders, version)
+// endOrder records that a load order has ended.
+func (e *endpointView) endOrder(version endpoint.AdapterVersion) {
+	e.openOrders[version]--
+	if e.openOrders[version] <= 0 {
+		delete(e.openOrders, version)
 	}
 }
 
-// endVictim ends the unloading of the adapter that gave its slot to a on e.
-func (s *scheduler) endVictim(now time.Time, e *engine, a *adapter, err error) {
-	for _, p := range e.places {
-		if p.victimOf != a {
+// finishEviction finishes unloading the adapter whose slot on e was given to a.
+func (s *scheduler) finishEviction(now time.Time, e *endpointView, a *adapter, err error) {
+	for _, p := range e.placements {
+		if p.replacedBy != a {
 			continue
 		}
-		p.victimOf = nil
+		p.replacedBy = nil
 		if errors.Is(err, endpoint.ErrInUse) || errors.Is(err, endpoint.ErrFenced) {
-			p.foreign = true
+			p.foreignUse = true
 			_ = s.fire(now, p, eventUnloadFailed)
 			return
 		}
@@ -204,10 +209,10 @@
 	}
 }
 
-// loadFailed counts a failed load of a on e.
-func (s *scheduler) loadFailed(now time.Time, e *engine, a *adapter) {
+// loadFailed records a failed load of a on e and sets the backoff of both.
+func (s *scheduler) loadFailed(now time.Time, e *endpointView, a *adapter) {
 	a.failures++
-	e.loadAfter = now.Add(backoff(s.cfg.EndpointBackoff, e.loadFailures, s.cfg.EndpointBackoffMax))
+	e.loadsNotBefore = now.Add(backoff(s.cfg.EndpointBackoff, e.loadFailures, s.cfg.EndpointBackoffMax))
 	e.loadFailures++
 	if !slices.Contains(a.failedOn, e.spec.Name) {
 		a.failedOn = append(a.failedOn, e.spec.Name)
@@ -219,10 +224,10 @@
 	a.failures, a.failedOn = 0, nil
 	a.brokenUntil = now.Add(s.cfg.LoadCooldown)
 	a.notBefore = a.brokenUntil
-	s.refuseHomeless(a)
+	s.refuseUnloadable(a)
 }
 
-// backoff doubles first for each failure, up to limit.
+// backoff returns first, doubled once for each failure, up to limit.
 func backoff(first time.Duration, failures int, limit time.Duration) time.Duration {
 	for range failures {
 		if first >= limit {
@@ -233,11 +238,11 @@
 	return min(first, limit)
 }
 
-// refuseHomeless refuses the items of an adapter whose loads have failed, but for those that may run
-// on an endpoint that has it.
-func (s *scheduler) refuseHomeless(a *adapter) {
+// refuseUnloadable refuses the queued items of an adapter whose loads have failed, except for those
+// that may run on an endpoint that already has it.
+func (s *scheduler) refuseUnloadable(a *adapter) {
 	for _, l := range slices.Clone(a.lanes) {
-		if s.homes(l) > 0 {
+		if s.countUsableEndpoints(l) > 0 {
 			continue
 		}
 		for l.size > 0 {
@@ -248,16 +253,16 @@
 
 // Unloaded implements Scheduler.
 func (s *scheduler) Unloaded(now time.Time, name string, version endpoint.AdapterVersion, err error) {
-	e, a := s.engine(name), s.adapters[version]
+	e, a := s.endpoint(name), s.adapters[version]
 	if e == nil || a == nil {
 		return
 	}
-	p := a.on(e)
+	p := a.placementOn(e)
 	if p == nil {
 		return
 	}
 	if err != nil {
-		p.foreign = true
+		p.foreignUse = true
 		_ = s.fire(now, p, eventUnloadFailed)
 		return
 	}
@@ -266,49 +271,50 @@
 
 // Report implements Scheduler.
 func (s *scheduler) Report(now time.Time, name string, report endpoint.LoadReport) {
-	e := s.engine(name)
+	e := s.endpoint(name)
 	if e == nil {
 		return
 	}
-	taken := now.Add(-report.Age)
+	takenAt := now.Add(-report.Age)
 	if e.incarnation != "" && e.incarnation != report.Incarnation {
-		s.empty(now, e)
+		s.clearView(now, e)
 		e.fire(eventRestart)
 	}
 	e.incarnation = report.Incarnation
 	e.draining = report.Draining
-	e.load.report(taken, report.Running+report.Waiting)
+	e.load.report(takenAt, report.Running+report.Waiting)
 	if report.Slots > 0 && e.spec.Slots == 0 {
 		e.spec.Slots = report.Slots
 	}
-	s.reconcile(now, taken, e, report.Loaded)
+	s.reconcile(now, takenAt, e, report.Loaded)
 	before := e.state
-	s.settle(e)
+	s.syncState(e)
 	e.fire(eventReport)
 	if e.state != before {
-		s.recheckEngine(e)
+		s.recheckEndpoint(e)
 	}
-	e.freed = true
+	e.mayHaveRoom = true
 	s.loadsDue = true
 }
 
-// reconcile brings the placements on e in line with a report taken at taken. What has changed after
-// that is left as it is.
-func (s *scheduler) reconcile(now, taken time.Time, e *engine, loaded []endpoint.LoadedAdapter) {
-	for _, p := range slices.Clone(e.places) {
-		if p.state == adapterResident && p.changed.Before(taken) && !reported(loaded, p.adapter.version) {
-			s.lose(now, p)
+// reconcile updates the placements on e from a report taken at takenAt. It does not touch placements
+// that changed after that time.
+func (s *scheduler) reconcile(now, takenAt time.Time, e *endpointView, loaded []endpoint.LoadedAdapter) {
+	for _, p := range slices.Clone(e.placements) {
+		if p.state == adapterResident && p.stateChanged.Before(takenAt) && !reported(loaded, p.adapter.version) {
+			s.markLost(now, p)
 		}
 	}
 	for _, l := range loaded {
-		s.see(now, taken, e, l)
+		s.recordLoaded(now, takenAt, e, l)
 	}
-	maps.DeleteFunc(e.removed, func(_ endpoint.AdapterVersion, at time.Time) bool { return at.Before(taken) })
-	if !e.takenOver.IsZero() && taken.After(e.takenOver) {
-		e.takenOver = time.Time{}
+	maps.DeleteFunc(e.removedAt, func(_ endpoint.AdapterVersion, at time.Time) bool { return at.Before(takenAt) })
+	if !e.takenOverAt.IsZero() && takenAt.After(e.takenOverAt) {
+		e.takenOverAt = time.Time{}
 	}
 }
 
+// reported reports whether loaded contains version.
 func reported(loaded []endpoint.LoadedAdapter, version endpoint.AdapterVersion) bool {
 	for _, l := range loaded {
 		if l.AdapterVersion == version {
@@ -318,54 +324,54 @@
 	return false
 }
 
-// see takes in that e had l loaded at taken.
-func (s *scheduler) see(now, taken time.Time, e *engine, l endpoint.LoadedAdapter) {
+// recordLoaded records that e had l loaded at takenAt.
+func (s *scheduler) recordLoaded(now, takenAt time.Time, e *endpointView, l endpoint.LoadedAdapter) {
 	a := s.adapter(l.AdapterVersion)
-	p := a.on(e)
+	p := a.placementOn(e)
 	if p == nil {
-		if removed, ok := e.removed[l.AdapterVersion]; ok && !removed.Before(taken) {
+		if removed, ok := e.removedAt[l.AdapterVersion]; ok && !removed.Before(takenAt) {
 			return
 		}
-		p = s.place(now, a, e)
-		p.unproven = !e.takenOver.IsZero()
-		p.used = taken.Add(-1)
+		p = s.ensurePlacement(now, a, e)
+		p.idleUnconfirmed = !e.takenOverAt.IsZero()
+		p.lastUsed = takenAt.Add(-1)
 		_ = s.fire(now, p, eventSeen)
 	}
 	if p.state != adapterResident {
 		return
 	}
-	if p.running == 0 && p.used.Before(taken) {
-		p.foreign = l.Running > 0
+	if p.running == 0 && p.lastUsed.Before(takenAt) {
+		p.foreignUse = l.Running > 0
 	}
-	if l.Running == 0 && (e.takenOver.IsZero() || taken.After(e.takenOver)) {
-		p.unproven = false
+	if l.Running == 0 && (e.takenOverAt.IsZero() || takenAt.After(e.takenOverAt)) {
+		p.idleUnconfirmed = false
 	}
 }
 
 // Unreachable implements Scheduler.
 func (s *scheduler) Unreachable(now time.Time, name string) {
-	e := s.engine(name)
+	e := s.endpoint(name)
 	if e == nil {
 		return
 	}
 	e.fire(eventUnreachable)
 	e.downUntil = now.Add(s.cfg.ServiceRetry)
-	s.recheckEngine(e)
+	s.recheckEndpoint(e)
 }
 
 // TakenOver implements Scheduler.
 func (s *scheduler) TakenOver(now time.Time, _ bool) {
-	for _, e := range s.engines {
-		e.takenOver = now
-		for _, p := range e.places {
-			p.unproven = true
+	for _, e := range s.endpoints {
+		e.takenOverAt = now
+		for _, p := range e.placements {
+			p.idleUnconfirmed = true
 		}
 	}
 }
 
 // AvoidAdapter implements Scheduler.
 func (s *scheduler) AvoidAdapter(name string, version endpoint.AdapterVersion) {
-	if e := s.engine(name); e != nil {
+	if e := s.endpoint(name); e != nil {
 		e.avoided[version] = true
 		s.recheckAdapter(s.adapter(version))
 	}
@@ -373,9 +379,9 @@
 
 // AllowAdapter implements Scheduler.
 func (s *scheduler) AllowAdapter(name string, version endpoint.AdapterVersion) {
-	if e := s.engine(name); e != nil {
+	if e := s.endpoint(name); e != nil {
 		delete(e.avoided, version)
-		e.freed = true
+		e.mayHaveRoom = true
 		s.recheckAdapter(s.adapter(version))
 	}
 }
--- a/pkg/scheduler/pending_loads.go
+++ b/pkg/scheduler/pending_loads.go
@@ -5,121 +5,124 @@
 	"time"
 )
 
-// rank orders the reasons to load an adapter; lower ranks come first.
-type rank int
+// loadRank orders the reasons to load an adapter. Lower ranks come first.
+type loadRank int
 
-// Ranks of lanes that want their adapter loaded.
+// Ranks of the lanes that need their adapter loaded.
 const (
-	rankInteractive rank = iota
+	rankInteractive loadRank = iota
 	rankReplica
 	rankBatch
-	ranks
+	rankCount
 )
 
-// wantedHeap holds the lanes of one rank that want their adapter loaded, by the time from which they
-// do, then by the number waiting.
-type wantedHeap []*lane
+// loadHeap holds the lanes of one rank that need their adapter loaded, ordered by due time, then by
+// the number of queued items of the adapter, largest first.
+type loadHeap []*lane
 
-func (h wantedHeap) Len() int { return len(h) }
+func (h loadHeap) Len() int { return len(h) }
 
-func (h wantedHeap) Less(i, j int) bool {
-	if !h[i].wantedAt.Equal(h[j].wantedAt) {
-		return h[i].wantedAt.Before(h[j].wantedAt)
+func (h loadHeap) Less(i, j int) bool {
+	if !h[i].loadDue.Equal(h[j].loadDue) {
+		return h[i].loadDue.Before(h[j].loadDue)
 	}
 	return h[i].adapter.queued() > h[j].adapter.queued()
 }
 
-func (h wantedHeap) Swap(i, j int) {
+func (h loadHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].wantedIndex, h[j].wantedIndex = i, j
+	h[i].loadIndex, h[j].loadIndex = i, j
 }
 
-func (h *wantedHeap) Push(x any) {
+func (h *loadHeap) Push(x any) {
 	l := x.(*lane)
-	l.wantedIndex = len(*h)
+	l.loadIndex = len(*h)
 	*h = append(*h, l)
 }
 
-func (h *wantedHeap) Pop() any {
+func (h *loadHeap) Pop() any {
 	old := *h
 	l := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	l.wantedIndex = -1
+	l.loadIndex = -1
 	return l
 }
 
-// want puts l, which is not empty and could not be dispatched, among the lanes that want a load.
-func (s *scheduler) want(l *lane) {
-	rank, at, ok := s.wish(l)
-	if l.wantedIndex >= 0 {
-		if ok && rank == l.wantedRank && at.Equal(l.wantedAt) {
+// updatePendingLoad adds l to the pending loads, moves it or removes it, according to loadDemand. The
+// lane is one that could not be dispatched.
+func (s *scheduler) updatePendingLoad(l *lane) {
+	rank, at, ok := s.loadDemand(l)
+	if l.loadIndex >= 0 {
+		if ok && rank == l.loadRank && at.Equal(l.loadDue) {
 			return
 		}
-		s.unwant(l)
+		s.dropPendingLoad(l)
 	}
 	if !ok {
 		return
 	}
-	l.wantedRank, l.wantedAt = rank, at
-	heap.Push(&s.wanted[rank], l)
+	l.loadRank, l.loadDue = rank, at
+	heap.Push(&s.pendingLoads[rank], l)
 	s.loadsDue = true
 }
 
-func (s *scheduler) unwant(l *lane) {
-	if l.wantedIndex >= 0 {
-		heap.Remove(&s.wanted[l.wantedRank], l.wantedIndex)
+func (s *scheduler) dropPendingLoad(l *lane) {
+	if l.loadIndex >= 0 {
+		heap.Remove(&s.pendingLoads[l.loadRank], l.loadIndex)
 	}
 }
 
-// wish returns why and from when l wants a load. Batch items that have a busy endpoint want none.
-func (s *scheduler) wish(l *lane) (rank, time.Time, bool) {
+// loadDemand returns the rank of the load that l needs and the time when it is due, or false if l
+// needs none. Batch items whose adapter is on a busy endpoint need none.
+func (s *scheduler) loadDemand(l *lane) (loadRank, time.Time, bool) {
 	if l.size == 0 || l.adapter.version == noAdapter || l.adapter.loading() {
 		return 0, time.Time{}, false
 	}
-	busy := s.homes(l) > 0
+	busy := s.countUsableEndpoints(l) > 0
 	switch {
 	case l.class == interactive && !busy:
-		return rankInteractive, later(l.head.tag, s.notBefore(l)), true
+		return rankInteractive, later(l.head.loadTag, s.earliestLoad(l)), true
 	case l.class == interactive:
-		return rankReplica, later(l.head.enqueued.Add(s.cfg.ReplicaDelay), s.notBefore(l)), true
+		return rankReplica, later(l.head.enqueued.Add(s.cfg.ReplicaDelay), s.earliestLoad(l)), true
 	case busy:
 		return 0, time.Time{}, false
 	}
-	due := l.head.enqueued.Add(s.gatherTime(l.head))
+	due := l.head.enqueued.Add(s.gatherDelay(l.head))
 	if l.adapter.waiting[batch] >= s.cfg.GatherItems {
 		due = l.head.enqueued
 	}
-	return rankBatch, later(due, s.notBefore(l)), true
+	return rankBatch, later(due, s.earliestLoad(l)), true
 }
 
-// notBefore is when l's adapter may be loaded at the earliest.
-func (s *scheduler) notBefore(l *lane) time.Time {
+// earliestLoad returns the earliest time at which the adapter of l may be loaded.
+func (s *scheduler) earliestLoad(l *lane) time.Time {
 	return later(l.notBefore, l.adapter.notBefore)
 }
 
-// gatherTime is how long r waits for others to share the load of its adapter.
-func (s *scheduler) gatherTime(r *request) time.Duration {
+// gatherDelay returns how long r waits for other items to share the load of its adapter.
+func (s *scheduler) gatherDelay(r *request) time.Duration {
 	if r.Deadline.IsZero() {
 		return s.cfg.GatherDelay
 	}
-	return min(s.cfg.GatherDelay, r.Deadline.Sub(r.enqueued)/gatherDeadlinePart)
+	return min(s.cfg.GatherDelay, r.Deadline.Sub(r.enqueued)/gatherDeadlineDivisor)
 }
 
-// gatherDeadlinePart is the part of an item's time to its deadline that gathering may take.
-const gatherDeadlinePart = 4
+// gatherDeadlineDivisor limits the gather delay to a fraction of the time from arrival to the
+// deadline.
+const gatherDeadlineDivisor = 4
 
-// tagArrival sets r's tag. An account that sends more than its weight's share of the
-// tokens, a slack and a burst aside, has its tags fall behind its arrivals.
+// tagArrival sets the load tag of r. If an account sends more than its share of the tokens by weight,
+// with ShareSlack and ShareBurst allowed for, its load tags are later than the arrivals of its items.
 func (s *scheduler) tagArrival(now time.Time, a *account, r *request) {
-	s.arrivals.add(now, float64(r.Tokens))
-	share := s.arrivals.perSecond(now) * s.cfg.ShareSlack * a.weight / s.weights
+	s.tokenRate.add(now, float64(r.Tokens))
+	share := s.tokenRate.perSecond(now) * s.cfg.ShareSlack * a.weight / s.totalWeight
 	spacing := time.Duration(float64(r.Tokens) / share * float64(time.Second))
-	a.clock = later(now, a.clock.Add(spacing))
-	if limit := now.Add(s.cfg.ShareMemory); a.clock.After(limit) {
-		a.clock = limit
+	a.virtualArrival = later(now, a.virtualArrival.Add(spacing))
+	if limit := now.Add(s.cfg.ShareMemory); a.virtualArrival.After(limit) {
+		a.virtualArrival = limit
 	}
-	r.tag = later(now, a.clock.Add(-s.cfg.ShareBurst))
+	r.loadTag = later(now, a.virtualArrival.Add(-s.cfg.ShareBurst))
 }
 
 func later(a, b time.Time) time.Time {
--- a/pkg/scheduler/pick.go
+++ b/pkg/scheduler/pick.go
@@ -1,69 +1,73 @@
 package scheduler
 
-// choice is an endpoint on which a lane's head may run now, and the adapter's placement there.
-type choice struct {
-	engine *engine
-	place  *placement
+// candidate is an endpoint on which the head of a lane may run now, with the placement of the adapter
+// there.
+type candidate struct {
+	endpoint  *endpointView
+	placement *placement
 }
 
-// chooser draws two of the choices that it is shown, uniformly, and keeps the least loaded one that
-// is believed to hold the prefix.
+// chooser samples two of the candidates uniformly and also keeps the least loaded candidate that is
+// expected to have the prefix cached.
 type chooser struct {
-	drawn  [2]choice
-	seen   int
-	holder choice
+	samples [2]candidate
+	// candidateCount is the number of candidates considered so far.
+	candidateCount int
+	prefixHolder   candidate
 }
 
-func (c *chooser) show(s *scheduler, l *lane, e *engine, p *placement) {
-	if !e.room(l.class, s.cfg.BatchRunningShare) || !s.mayRun(l, e) {
+// consider adds e to the candidates if it may run the head of l and has room.
+func (c *chooser) consider(s *scheduler, l *lane, e *endpointView, p *placement) {
+	if !e.hasRoom(l.class, s.cfg.BatchRunningShare) || !s.mayRun(l, e) {
 		return
 	}
-	c.seen++
-	if c.seen <= len(c.drawn) {
-		c.drawn[c.seen-1] = choice{e, p}
-	} else if slot := s.rng.Intn(c.seen); slot < len(c.drawn) {
-		c.drawn[slot] = choice{e, p}
+	c.candidateCount++
+	if c.candidateCount <= len(c.samples) {
+		c.samples[c.candidateCount-1] = candidate{e, p}
+	} else if i := s.rng.Intn(c.candidateCount); i < len(c.samples) {
+		c.samples[i] = candidate{e, p}
 	}
-	if e.prefixes.has(l.head.PrefixHash) && (c.holder.engine == nil || e.utilisation() < c.holder.engine.utilisation()) {
-		c.holder = choice{e, p}
+	if e.prefixes.has(l.head.PrefixHash) && (c.prefixHolder.endpoint == nil || e.utilisation() < c.prefixHolder.endpoint.utilisation()) {
+		c.prefixHolder = candidate{e, p}
 	}
 }
 
-// best returns the less loaded draw, or the holder of the prefix unless it is busier by more than
-// the bonus.
-func (c *chooser) best(bonus float64) choice {
-	best := c.drawn[0]
-	if c.seen > 1 && c.drawn[1].engine.utilisation() < best.engine.utilisation() {
-		best = c.drawn[1]
+// best returns the less utilised of the two samples, or the prefix holder unless its utilisation is
+// higher by more than bonus.
+func (c *chooser) best(bonus float64) candidate {
+	best := c.samples[0]
+	if c.candidateCount > 1 && c.samples[1].endpoint.utilisation() < best.endpoint.utilisation() {
+		best = c.samples[1]
 	}
-	if c.holder.engine != nil && c.holder.engine.utilisation() <= best.engine.utilisation()+bonus {
-		return c.holder
+	if c.prefixHolder.endpoint != nil && c.prefixHolder.endpoint.utilisation() <= best.endpoint.utilisation()+bonus {
+		return c.prefixHolder
 	}
 	return best
 }
 
-// pick chooses an endpoint with room for l's head. It returns nil if there is none.
-func (s *scheduler) pick(l *lane) (*engine, *placement) {
+// pick returns an endpoint with room for the head of l, and the placement of the adapter there. It
+// returns nil if there is none.
+func (s *scheduler) pick(l *lane) (*endpointView, *placement) {
 	var c chooser
 	if l.adapter.version == noAdapter {
-		for _, e := range s.engines {
-			c.show(s, l, e, nil)
+		for _, e := range s.endpoints {
+			c.consider(s, l, e, nil)
 		}
 	} else {
-		for _, p := range l.adapter.places {
+		for _, p := range l.adapter.placements {
 			if p.state == adapterResident {
-				c.show(s, l, p.ep, p)
+				c.consider(s, l, p.endpoint, p)
 			}
 		}
 	}
-	if c.seen == 0 {
+	if c.candidateCount == 0 {
 		return nil, nil
 	}
 	best := c.best(s.cfg.PrefixBonus)
-	return best.engine, best.place
+	return best.endpoint, best.placement
 }
 
-// utilisation is the corrected load over MaxRunning.
-func (e *engine) utilisation() float64 {
+// utilisation returns the corrected load of the endpoint as a fraction of MaxRunning.
+func (e *endpointView) utilisation() float64 {
 	return float64(max(e.running, e.load.current())) / float64(e.spec.MaxRunning)
 }
--- a/pkg/scheduler/postpone_test.go
+++ b/pkg/scheduler/postpone_test.go
@@ -12,15 +12,16 @@
 	"github.com/mallowlink/mallowlink/pkg/work"
 )
 
-type unlimited struct{}
+type alwaysPermit struct{}
 
-func (unlimited) TryTake(time.Time) bool { return true }
+func (alwaysPermit) TryTake(time.Time) bool { return true }
 
-// TestPostponedReplicaEndsDecide brings about a replica that is wanted, restricted to some endpoints,
-// and has no place on any of them. Decide must put it off rather than try it for ever.
+// TestPostponedReplicaEndsDecide guards against an endless loop in Decide. An item that excludes an
+// endpoint needs a replica, and no endpoint can load it because every slot holds an adapter in use.
+// Decide must postpone the load rather than retry it at once.
 func TestPostponedReplicaEndsDecide(t *testing.T) {
 	now := time.Unix(0, 0)
-	s := New(DefaultConfig(), rand.New(rand.NewSource(1)), unlimited{})
+	s := New(DefaultConfig(), rand.New(rand.NewSource(1)), alwaysPermit{})
 	s.SetEndpoints(now, []EndpointSpec{{Name: "e1", Slots: 1, MaxRunning: 1}, {Name: "e2", Slots: 1, MaxRunning: 1}})
 	versions := map[string]endpoint.AdapterVersion{
 		"e1": {Adapter: "hot", Version: "v1"},
--- a/pkg/scheduler/prefix.go
+++ b/pkg/scheduler/prefix.go
@@ -6,13 +6,14 @@
 	"github.com/mallowlink/mallowlink/pkg/endpoint"
 )
 
-// maxPrefixes bounds the cached prefixes that are believed of one endpoint.
+// maxPrefixes is the maximum number of cached prefixes recorded for one endpoint.
 const maxPrefixes = 4096
 
-// prefixView is what is believed of an endpoint's prefix cache. It only ever steers a preference.
+// prefixView is the set of prefixes that an endpoint probably has cached. It influences only the
+// choice between endpoints that could all run the item, so errors in it are harmless.
 type prefixView map[uint64]struct{}
 
-// apply takes in cache events. After a gap nothing that was believed before holds.
+// apply records cache events. After a gap, the earlier records no longer hold.
 func (v prefixView) apply(events []endpoint.CacheEvent, gap bool) {
 	if gap {
 		clear(v)
@@ -39,7 +40,7 @@
 
 // CacheEvents implements Scheduler.
 func (s *scheduler) CacheEvents(_ time.Time, name string, events []endpoint.CacheEvent, gap bool) {
-	if e := s.engine(name); e != nil {
+	if e := s.endpoint(name); e != nil {
 		e.prefixes.apply(events, gap)
 	}
 }
--- a/pkg/scheduler/property_test.go
+++ b/pkg/scheduler/property_test.go
@@ -17,7 +17,7 @@
 	"github.com/mallowlink/mallowlink/pkg/work"
 )
 
-// TestMain fixes the seed of the property tests unless one is given.
+// TestMain fixes the seed of the property tests unless one is given by flag.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := map[string]bool{}
@@ -30,38 +30,39 @@
 	os.Exit(m.Run())
 }
 
-// Sizes of the model group.
+// Limits of the simulated group.
 const (
-	modelEndpoints = 3
-	modelSlots     = 2
-	modelRunning   = 3
-	modelAdapters  = 6
-	modelAtOnce    = 2
+	modelEndpoints  = 3
+	modelSlots      = 2
+	modelMaxRunning = 3
+	modelAdapters   = 6
+	modelMaxLoads   = 2
 )
 
-// model drives a scheduler at random and keeps its own plain record of what must hold.
+// model drives a scheduler with random events and keeps a simple record of its own to check it
+// against.
 type model struct {
-	t       *rapid.T
-	s       *scheduler
-	now     time.Time
-	next    int
-	queued  map[work.AttemptID]Item
-	running map[work.AttemptID]Action
-	loads   []Action
-	// taken counts the permits of loads that have not ended.
-	taken int
-	// loaded is what the endpoints really hold, in the view that the scheduler must have.
-	loaded map[string]map[endpoint.AdapterVersion]bool
-	epochs map[string]int
-	ended  map[work.AttemptID]int
+	t         *rapid.T
+	s         *scheduler
+	now       time.Time
+	next      int
+	queued    map[work.AttemptID]Item
+	running   map[work.AttemptID]Action
+	openLoads []Action
+	// permitsHeld counts the permits of loads that have not ended.
+	permitsHeld int
+	// loaded records, for each endpoint, the adapters that are really loaded there.
+	loaded       map[string]map[endpoint.AdapterVersion]bool
+	incarnations map[string]int
+	ended        map[work.AttemptID]int
 }
 
 // TryTake implements LoadPermits.
 func (m *model) TryTake(time.Time) bool {
-	if m.taken >= modelAtOnce {
+	if m.permitsHeld >= modelMaxLoads {
 		return false
 	}
-	m.taken++
+	m.permitsHeld++
 	return true
 }
 
@@ -69,13 +70,13 @@
 	m := &model{
 		t: t, now: epoch,
 		queued: map[work.AttemptID]Item{}, running: map[work.AttemptID]Action{},
-		loaded: map[string]map[endpoint.AdapterVersion]bool{}, epochs: map[string]int{},
+		loaded: map[string]map[endpoint.AdapterVersion]bool{}, incarnations: map[string]int{},
 		ended: map[work.AttemptID]int{},
 	}
 	cfg := Config{AccountQueueLimit: 12, QueueLimit: 30, GatherDelay: time.Second, GatherItems: 2}
 	m.s = New(cfg, rand.New(rand.NewSource(1)), m).(*scheduler)
-	m.s.SetEndpoints(m.now, engineSpecs(modelEndpoints, modelSlots, modelRunning))
-	for _, e := range m.s.engines {
+	m.s.SetEndpoints(m.now, endpointSpecs(modelEndpoints, modelSlots, modelMaxRunning))
+	for _, e := range m.s.endpoints {
 		m.loaded[e.spec.Name] = map[endpoint.AdapterVersion]bool{}
 		m.report(e.spec.Name)
 	}
@@ -110,7 +111,7 @@
 	return fmt.Sprintf("e%d", rapid.IntRange(0, modelEndpoints-1).Draw(t, "endpoint"))
 }
 
-// someRunning returns the first running item by number, from a random one on.
+// someRunning returns the first running item at or after a random number, wrapping around.
 func (m *model) someRunning(t *rapid.T) (work.AttemptID, bool) {
 	from := rapid.IntRange(0, m.next).Draw(t, "running")
 	for i := range m.next + 1 {
@@ -137,23 +138,23 @@
 }
 
 func (m *model) endLoad(t *rapid.T) {
-	if len(m.loads) == 0 {
+	if len(m.openLoads) == 0 {
 		return
 	}
-	a := m.loads[0]
-	m.loads = m.loads[1:]
-	m.taken--
+	a := m.openLoads[0]
+	m.openLoads = m.openLoads[1:]
+	m.permitsHeld--
 	var err error
 	if rapid.IntRange(0, 3).Draw(t, "fails") == 0 {
 		err = endpoint.ErrLoadFailed
-	} else if m.s.engine(a.Endpoint).alive() && m.state(a) == adapterLoading {
+	} else if m.s.endpoint(a.Endpoint).alive() && m.state(a) == adapterLoading {
 		m.loaded[a.Endpoint][a.Adapter] = true
 	}
 	m.s.Loaded(m.now, a.Endpoint, a.Adapter, err)
 }
 
 func (m *model) state(a Action) any {
-	p := m.s.adapters[a.Adapter].on(m.s.engine(a.Endpoint))
+	p := m.s.adapters[a.Adapter].placementOn(m.s.endpoint(a.Endpoint))
 	if p == nil {
 		return adapterAbsent
 	}
@@ -162,7 +163,7 @@
 
 func (m *model) restart(t *rapid.T) {
 	name := m.someEndpoint(t)
-	m.epochs[name]++
+	m.incarnations[name]++
 	clear(m.loaded[name])
 	if rapid.Bool().Draw(t, "noticed") {
 		m.s.Unreachable(m.now, name)
@@ -179,7 +180,7 @@
 }
 
 func (m *model) report(name string) {
-	r := endpoint.LoadReport{Incarnation: fmt.Sprint(m.epochs[name]), Slots: modelSlots}
+	r := endpoint.LoadReport{Incarnation: fmt.Sprint(m.incarnations[name]), Slots: modelSlots}
 	count := map[endpoint.AdapterVersion]int{}
 	for _, a := range m.running {
 		if a.Endpoint == name {
@@ -223,7 +224,7 @@
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond)
 }
 
-// decide carries out the actions and checks each against the record.
+// decide carries out the actions of Decide and checks each against the record.
 func (m *model) decide(t *rapid.T) {
 	for _, a := range m.s.Decide(m.now) {
 		switch a.Kind {
@@ -240,7 +241,7 @@
 			t.Fatalf("action %d", a.Kind)
 		}
 	}
-	require.Equal(t, m.taken, len(m.loads), "each permit is used")
+	require.Equal(t, m.permitsHeld, len(m.openLoads), "each permit is used")
 	m.checkState(t)
 }
 
@@ -249,8 +250,8 @@
 	require.True(t, ok, "dispatched once, and only what is queued")
 	delete(m.queued, a.ID)
 	m.ended[a.ID]++
-	e := m.s.engine(a.Endpoint)
-	p := m.s.adapters[a.Adapter].on(e)
+	e := m.s.endpoint(a.Endpoint)
+	p := m.s.adapters[a.Adapter].placementOn(e)
 	require.NotNil(t, p)
 	require.Equal(t, adapterResident, p.state)
 	require.Equal(t, it.Adapter, a.Adapter)
@@ -260,16 +261,16 @@
 	} else {
 		require.True(t, e.alive())
 		require.False(t, e.avoided[a.Adapter])
-		require.LessOrEqual(t, e.running, modelRunning)
+		require.LessOrEqual(t, e.running, modelMaxRunning)
 	}
 	if it.Isolated && it.Endpoint == "" {
-		require.Equal(t, 1, e.isolated)
+		require.Equal(t, 1, e.runningIsolated)
 	}
 	m.running[a.ID] = a
 }
 
 func (m *model) checkLoad(t *rapid.T, a Action) {
-	for _, other := range m.loads {
+	for _, other := range m.openLoads {
 		require.False(t, other.Endpoint == a.Endpoint && other.Adapter == a.Adapter && m.state(other) == adapterLoading)
 	}
 	for _, r := range m.running {
@@ -279,12 +280,12 @@
 		require.NotEqual(t, a.Victim, it.Adapter, "victim with queued work")
 	}
 	delete(m.loaded[a.Endpoint], a.Victim)
-	m.loads = append(m.loads, a)
+	m.openLoads = append(m.openLoads, a)
 }
 
-// checkState compares the scheduler's indexes with plain scans.
+// checkState compares the indexes of the scheduler with plain scans.
 func (m *model) checkState(t *rapid.T) {
-	require.Equal(t, len(m.queued), m.s.waiting)
+	require.Equal(t, len(m.queued), m.s.queuedItems)
 	for id := range m.queued {
 		r := m.s.requests[id]
 		require.NotNil(t, r)
@@ -293,26 +294,26 @@
 		}
 		e, _ := m.s.pick(r.lane)
 		require.Nil(t, e, "an item waits although an endpoint could run it")
-		rank, at, wants := m.s.wish(r.lane)
-		require.Equal(t, wants, r.lane.wantedIndex >= 0, "a lane that wants a load is in a heap")
-		if wants {
-			require.Equal(t, rank, r.lane.wantedRank)
-			require.False(t, r.lane.wantedAt.After(at), "a wish is known no later than it is due")
+		rank, at, needed := m.s.loadDemand(r.lane)
+		require.Equal(t, needed, r.lane.loadIndex >= 0, "a lane that needs a load is in a heap")
+		if needed {
+			require.Equal(t, rank, r.lane.loadRank)
+			require.False(t, r.lane.loadDue.After(at), "a pending load is recorded no later than it is due")
 		}
 	}
-	for _, e := range m.s.engines {
+	for _, e := range m.s.endpoints {
 		require.LessOrEqual(t, e.usedSlots(), modelSlots)
 		m.checkVictim(t, e)
 	}
 }
 
-// checkVictim compares the victim with the least of a plain scan.
-func (m *model) checkVictim(t *rapid.T, e *engine) {
-	p, worth, ok := m.s.victim(m.now, e)
+// checkVictim compares the victim with the minimum found by a plain scan.
+func (m *model) checkVictim(t *rapid.T, e *endpointView) {
+	p, value, ok := m.s.victim(m.now, e)
 	least := math.Inf(1)
-	for _, other := range e.places {
-		if other.state == adapterResident && other.running == 0 && other.adapter.queued() == 0 && !other.foreign && !other.unproven {
-			least = min(least, m.s.worth(m.now, other))
+	for _, other := range e.placements {
+		if other.state == adapterResident && other.running == 0 && other.adapter.queued() == 0 && !other.foreignUse && !other.idleUnconfirmed {
+			least = min(least, m.s.retentionValue(m.now, other))
 		}
 	}
 	if e.usedSlots() < modelSlots {
@@ -322,11 +323,12 @@
 	}
 	require.Equal(t, !math.IsInf(least, 1), ok)
 	if ok {
-		require.Equal(t, least, worth)
+		require.Equal(t, least, value)
 	}
 }
 
-// drain lets all loads succeed and all items end, and checks that every one has ended once.
+// drain completes all loads successfully and finishes all items, and checks that every item has ended
+// exactly once.
 func (m *model) drain(t *rapid.T) {
 	for n := range modelEndpoints {
 		name := fmt.Sprintf("e%d", n)
@@ -336,10 +338,10 @@
 		m.report(name)
 	}
 	for range 2000 {
-		for len(m.loads) > 0 {
-			a := m.loads[0]
-			m.loads = m.loads[1:]
-			m.taken--
+		for len(m.openLoads) > 0 {
+			a := m.openLoads[0]
+			m.openLoads = m.openLoads[1:]
+			m.permitsHeld--
 			if m.state(a) == adapterLoading {
 				m.loaded[a.Endpoint][a.Adapter] = true
 			}
@@ -354,7 +356,7 @@
 			m.s.Finished(m.now, id, 1, refused)
 		}
 		m.decide(t)
-		if len(m.queued) == 0 && len(m.running) == 0 && len(m.loads) == 0 {
+		if len(m.queued) == 0 && len(m.running) == 0 && len(m.openLoads) == 0 {
 			break
 		}
 		m.now = m.now.Add(100 * time.Millisecond)
@@ -365,7 +367,10 @@
 	}
 }
 
-func TestSchedulerAgainstPlainRecord(t *testing.T) {
+// TestSchedulerMatchesModel applies random events and checks that every item ends exactly once, that
+// no adapter in use is evicted, that no item waits although an endpoint has room for it, and that the
+// indexes agree with plain scans.
+func TestSchedulerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		steps := []func(*rapid.T){
--- a/pkg/scheduler/queue.go
+++ b/pkg/scheduler/queue.go
@@ -7,8 +7,8 @@
 	"github.com/mallowlink/mallowlink/pkg/bundle"
 )
 
-// classes is the number of priority classes.
-const classes = 2
+// classCount is the number of priority classes.
+const classCount = 2
 
 // Indexes of the priority classes.
 const (
@@ -36,24 +36,26 @@
 	class    int
 	seq      uint64
 	enqueued time.Time
-	// tag orders loads: the arrival while the account keeps to its share, later beyond.
-	tag time.Time
-	// lane is set while the request is queued, place or ep while it runs.
+	// loadTag orders loads. It is the arrival time while the account stays within its share, and
+	// later if the account exceeds it.
+	loadTag time.Time
+	// lane is set while the request is queued. While the request runs, runsOn is set, and placement
+	// too unless the endpoint is a plain service. In the list of free requests only next is used.
 	lane       *lane
 	prev, next *request
-	place      *placement
-	ep         *engine
-	// index is the position in the deadline heap, -1 if it is not there.
-	index int
+	placement  *placement
+	runsOn     *endpointView
+	// deadlineIndex is the position in the deadline heap, or -1 if the request is not in it.
+	deadlineIndex int
 }
 
-// constrained reports whether the request restricts the endpoints it may run on.
+// constrained reports whether the request restricts the endpoints on which it may run.
 func (r *request) constrained() bool {
 	return r.Isolated || r.Endpoint != "" || len(r.Exclude) > 0
 }
 
-// lane is the queue of one account's requests of one class for one adapter, oldest first.
-// A constrained request has a lane of its own, so that all requests of a lane may run on the same
+// lane is the queue of the requests of one client account and class for one adapter, oldest first. A
+// constrained request has a lane of its own, so that all requests of a lane may run on the same
 // endpoints.
 type lane struct {
 	account     *account
@@ -62,11 +64,11 @@
 	constrained bool
 	head, tail  *request
 	size        int
-	// wantedIndex is the position in the heap of wantedRank, -1 if the lane wants no load.
-	wantedIndex int
-	wantedRank  rank
-	wantedAt    time.Time
-	// notBefore puts off the load of a constrained lane for which there was no place.
+	// loadIndex is the position in the heap of rank loadRank, or -1 if the lane needs no load.
+	loadIndex int
+	loadRank  loadRank
+	loadDue   time.Time
+	// notBefore delays the load of a constrained lane for which there was no destination.
 	notBefore time.Time
 }
 
@@ -99,45 +101,45 @@
 // account is the fair queuing state of one client account.
 type account struct {
 	name string
-	// served is the virtual token counter of each class: tokens dispatched over weight.
-	served [classes]float64
-	// waiting and tokens count the queued items of each class.
-	waiting [classes]int
-	tokens  [classes]int64
+	// virtualTokens is, for each class, the number of tokens dispatched divided by the weight.
+	virtualTokens [classCount]float64
+	// waiting counts the queued items of each class, and tokens counts their tokens.
+	waiting [classCount]int
+	tokens  [classCount]int64
 	weight  float64
-	// clock is when the account's latest item would have arrived had the account kept to
-	// its share.
-	clock time.Time
+	// virtualArrival is when the latest item of the account would have arrived if the account had
+	// kept to its share.
+	virtualArrival time.Time
 }
 
 func (a *account) queued() int { return a.waiting[interactive] + a.waiting[batch] }
 
-// enqueueFair lifts the counter of an account that was not waiting to the virtual time, so that idle
-// time earns no credit.
+// enqueueFair counts r as queued. If the account had nothing queued in the class, its virtual tokens
+// are raised to the virtual time, so that idle time earns no credit.
 func (s *scheduler) enqueueFair(a *account, r *request) {
 	if a.waiting[r.class] == 0 {
-		a.served[r.class] = max(a.served[r.class], s.virtual[r.class])
+		a.virtualTokens[r.class] = max(a.virtualTokens[r.class], s.virtualTime[r.class])
 	}
 	a.waiting[r.class]++
 	a.tokens[r.class] += r.Tokens
-	s.waiting++
+	s.queuedItems++
 }
 
 func (s *scheduler) dequeueFair(a *account, r *request) {
 	a.waiting[r.class]--
 	a.tokens[r.class] -= r.Tokens
-	s.waiting--
+	s.queuedItems--
 }
 
-// chargeFair books the dispatch of r.
-func (s *scheduler) chargeFair(a *account, r *request) {
-	s.virtual[r.class] = max(s.virtual[r.class], a.served[r.class])
-	a.served[r.class] += float64(r.Tokens) / r.Weight
+// chargeTokens charges the account for the expected tokens of r when r is dispatched.
+func (s *scheduler) chargeTokens(a *account, r *request) {
+	s.virtualTime[r.class] = max(s.virtualTime[r.class], a.virtualTokens[r.class])
+	a.virtualTokens[r.class] += float64(r.Tokens) / r.Weight
 }
 
-// settleFair replaces the tokens booked for r by those that it used.
-func (s *scheduler) settleFair(a *account, r *request, used int64) {
-	a.served[r.class] += float64(used-r.Tokens) / r.Weight
+// adjustTokens replaces the tokens charged for r by those that it used.
+func (s *scheduler) adjustTokens(a *account, r *request, used int64) {
+	a.virtualTokens[r.class] += float64(used-r.Tokens) / r.Weight
 }
 
 // deadlineHeap orders queued requests by deadline.
@@ -148,12 +150,12 @@
 
 func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].deadlineIndex, h[j].deadlineIndex = i, j
 }
 
 func (h *deadlineHeap) Push(x any) {
 	r := x.(*request)
-	r.index = len(*h)
+	r.deadlineIndex = len(*h)
 	*h = append(*h, r)
 }
 
@@ -162,19 +164,19 @@
 	r := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	r.index = -1
+	r.deadlineIndex = -1
 	return r
 }
 
 func (h *deadlineHeap) add(r *request) {
-	r.index = -1
+	r.deadlineIndex = -1
 	if !r.Deadline.IsZero() {
 		heap.Push(h, r)
 	}
 }
 
 func (h *deadlineHeap) drop(r *request) {
-	if r.index >= 0 {
-		heap.Remove(h, r.index)
+	if r.deadlineIndex >= 0 {
+		heap.Remove(h, r.deadlineIndex)
 	}
 }
--- a/pkg/scheduler/rate.go
+++ b/pkg/scheduler/rate.go
@@ -5,32 +5,34 @@
 	"time"
 )
 
-// meter estimates a rate by a sum that decays with time.
+// meter estimates a rate from a sum that decays exponentially.
 type meter struct {
 	halfLife time.Duration
 	sum      float64
-	at       time.Time
-	since    time.Time
+	updated  time.Time
+	started  time.Time
 }
 
 func (m *meter) add(now time.Time, amount float64) {
-	if m.since.IsZero() {
-		m.since, m.at = now, now
+	if m.started.IsZero() {
+		m.started, m.updated = now, now
 	}
 	m.sum = m.decayed(now) + amount
-	m.at = now
+	m.updated = now
 }
 
 func (m *meter) decayed(now time.Time) float64 {
-	return m.sum * math.Exp2(-float64(now.Sub(m.at))/float64(m.halfLife))
+	return m.sum * math.Exp2(-float64(now.Sub(m.updated))/float64(m.halfLife))
 }
 
-// minMeterTime bounds the time over which the first amounts are averaged from below.
-const minMeterTime = time.Second
+// minMeterPeriod is the shortest period over which a newly started meter averages, so that the first
+// amounts do not give a huge rate.
+const minMeterPeriod = time.Second
 
-// perSecond returns the rate a second, allowing for the time that the meter has run.
+// perSecond returns the rate per second. It corrects for the short history of a recently started
+// meter.
 func (m *meter) perSecond(now time.Time) float64 {
-	ran := max(now.Sub(m.since), minMeterTime)
-	seen := 1 - math.Exp2(-float64(ran)/float64(m.halfLife))
-	return m.decayed(now) * math.Ln2 / m.halfLife.Seconds() / seen
+	elapsed := max(now.Sub(m.started), minMeterPeriod)
+	observed := 1 - math.Exp2(-float64(elapsed)/float64(m.halfLife))
+	return m.decayed(now) * math.Ln2 / m.halfLife.Seconds() / observed
 }
--- a/pkg/scheduler/scheduler.go
+++ b/pkg/scheduler/scheduler.go
@@ -17,52 +17,54 @@
 	rng     *rand.Rand
 	permits LoadPermits
 
-	seq      uint64
-	requests map[work.AttemptID]*request
-	unused   *request
-	accounts map[string]*account
-	adapters map[endpoint.AdapterVersion]*adapter
-	engines  []*engine
-	// waiters are the adapters with queued items.
-	waiters   []*adapter
-	waiting   int
-	virtual   [classes]float64
-	deadlines deadlineHeap
-	// arrived are the items enqueued since the last Decide.
-	arrived []*request
-	actions []Action
+	seq          uint64
+	requests     map[work.AttemptID]*request
+	freeRequests *request
+	accounts     map[string]*account
+	adapters     map[endpoint.AdapterVersion]*adapter
+	endpoints    []*endpointView
+	// waitingAdapters lists the adapters with queued items.
+	waitingAdapters []*adapter
+	queuedItems     int
+	// virtualTime is, for each class, the highest virtual token count that an account had when one of
+	// its items was dispatched.
+	virtualTime [classCount]float64
+	deadlines   deadlineHeap
+	// newRequests lists the requests enqueued since the last Decide.
+	newRequests []*request
+	actions     []Action
 
-	// wanted are the lanes that want their adapter loaded, by rank. The lanes of the adapters in
-	// recheck may have come to want it.
-	wanted  [ranks]wantedHeap
-	recheck []*adapter
-	// batchLoads is the part of a load that waiting batch items have earned.
-	batchLoads float64
-	// weights is the sum of the accounts' weights, arrivals the rate of tokens enqueued.
-	weights  float64
-	arrivals meter
-	budget   saturation
-	// loadsDue says that something has happened that may make a load possible. No permit is asked for
-	// before permitAt. loadAt is when a load becomes due by the passing of time.
-	loadsDue bool
-	permitAt time.Time
-	loadAt   time.Time
-	// noneSince is when the last usable endpoint was lost, zero while there is one.
-	noneSince time.Time
+	// pendingLoads holds the lanes that need their adapter loaded, by rank. The lanes of the adapters
+	// in recheck may need it too and have yet to be checked.
+	pendingLoads [rankCount]loadHeap
+	recheck      []*adapter
+	// batchLoadCredit is the fraction of a load that waiting batch items have earned.
+	batchLoadCredit float64
+	// totalWeight is the sum of the weights of all accounts. tokenRate measures the tokens enqueued.
+	totalWeight float64
+	tokenRate   meter
+	loadBudget  saturation
+	// loadsDue is set when an event may have made a load possible. No permit is requested before
+	// nextPermitAt. nextLoadAt is when a load becomes due without any event.
+	loadsDue     bool
+	nextPermitAt time.Time
+	nextLoadAt   time.Time
+	// noEndpointSince is when the last usable endpoint was lost, or zero while there is one.
+	noEndpointSince time.Time
 }
 
-// New returns a Scheduler for an empty group.
+// New returns a Scheduler for a group without endpoints.
 func New(cfg Config, rng *rand.Rand, permits LoadPermits) Scheduler {
 	cfg = cfg.withDefaults()
 	return &scheduler{
-		cfg:      cfg,
-		arrivals: meter{halfLife: cfg.ShareMemory},
-		budget:   saturation{loads: meter{halfLife: cfg.ShareMemory}},
-		rng:      rng,
-		permits:  permits,
-		requests: map[work.AttemptID]*request{},
-		accounts: map[string]*account{},
-		adapters: map[endpoint.AdapterVersion]*adapter{},
+		cfg:        cfg,
+		tokenRate:  meter{halfLife: cfg.ShareMemory},
+		loadBudget: saturation{loads: meter{halfLife: cfg.ShareMemory}},
+		rng:        rng,
+		permits:    permits,
+		requests:   map[work.AttemptID]*request{},
+		accounts:   map[string]*account{},
+		adapters:   map[endpoint.AdapterVersion]*adapter{},
 	}
 }
 
@@ -78,11 +80,11 @@
 		item.Weight = 1
 	}
 	a := s.account(item.Account)
-	s.weights += item.Weight - a.weight
+	s.totalWeight += item.Weight - a.weight
 	a.weight = item.Weight
 	ad := s.adapter(item.Adapter)
 	if err := s.admit(now, a, ad, &item); err != nil {
-		s.forget(ad)
+		s.dropIfUnused(ad)
 		return err
 	}
 	r := s.newRequest()
@@ -94,11 +96,11 @@
 	s.enqueueFair(a, r)
 	s.enqueueAdapter(now, a, ad, r)
 	s.deadlines.add(r)
-	s.arrived = append(s.arrived, r)
+	s.newRequests = append(s.newRequests, r)
 	return nil
 }
 
-// admit returns the reason to refuse item at once, or nil.
+// admit returns an error if item must be refused at once, or nil.
 func (s *scheduler) admit(now time.Time, a *account, ad *adapter, item *Item) *result.Error {
 	if !item.Deadline.IsZero() && !item.Deadline.After(now) {
 		return refusal(result.DeadlineTooNear, "the deadline has passed in the queue", 0)
@@ -109,16 +111,17 @@
 	if a.queued() >= s.cfg.AccountQueueLimit {
 		return refusal(result.QueueFull, "the client account's queue is full", s.retryAfter(now))
 	}
-	if s.waiting >= s.cfg.QueueLimit && !s.displace(a) {
+	if s.queuedItems >= s.cfg.QueueLimit && !s.displace(a) {
 		return refusal(result.QueueFull, "the group's queue is full", s.retryAfter(now))
 	}
 	return nil
 }
 
-// queueFullRetry is when a caller refused for a full queue should come back.
+// queueFullRetry is the delay after which a caller refused because of a full queue should retry.
 const queueFullRetry = time.Second
 
-// displace refuses the newest item of the account with the most queued items, unless a has as many.
+// displace makes room for an item of a by refusing the newest item of the account with the most
+// queued items. It reports false, and refuses nothing, if no account has more queued items than a.
 func (s *scheduler) displace(a *account) bool {
 	longest := a
 	for _, other := range s.accounts {
@@ -130,7 +133,7 @@
 		return false
 	}
 	var newest *request
-	for _, ad := range s.waiters {
+	for _, ad := range s.waitingAdapters {
 		for _, l := range ad.lanes {
 			if l.account == longest && (newest == nil || l.tail.seq > newest.seq) {
 				newest = l.tail
@@ -157,32 +160,33 @@
 func (s *scheduler) adapter(version endpoint.AdapterVersion) *adapter {
 	a := s.adapters[version]
 	if a == nil {
-		a = &adapter{version: version, index: -1}
+		a = &adapter{version: version, waitingIndex: -1}
 		s.adapters[version] = a
 	}
 	return a
 }
 
-// forget drops an adapter of which nothing is known any more.
-func (s *scheduler) forget(a *adapter) {
-	if a.rate == 0 && a.failures == 0 && a.queued() == 0 && len(a.places) == 0 {
+// dropIfUnused deletes an adapter that has no request rate, load failures, queued items or
+// placements.
+func (s *scheduler) dropIfUnused(a *adapter) {
+	if a.rate == 0 && a.failures == 0 && a.queued() == 0 && len(a.placements) == 0 {
 		delete(s.adapters, a.version)
 	}
 }
 
-// enqueueAdapter puts r into its lane.
+// enqueueAdapter appends r to its lane and counts it in the request rate of the adapter.
 func (s *scheduler) enqueueAdapter(now time.Time, a *account, ad *adapter, r *request) {
-	ad.touch(now, s.cfg.RateHalfLife, touchWeight[r.class])
+	ad.recordRequest(now, s.cfg.RateHalfLife, requestWeight[r.class])
 	l := ad.lane(a, r)
 	l.push(r)
 	ad.waiting[r.class]++
-	if ad.index < 0 {
-		ad.index = len(s.waiters)
-		s.waiters = append(s.waiters, ad)
+	if ad.waitingIndex < 0 {
+		ad.waitingIndex = len(s.waitingAdapters)
+		s.waitingAdapters = append(s.waitingAdapters, ad)
 	}
 }
 
-// lane returns the lane that r belongs to.
+// lane returns the lane that r belongs to and creates it if there is none.
 func (a *adapter) lane(owner *account, r *request) *lane {
 	if !r.constrained() {
 		for _, l := range a.lanes {
@@ -191,60 +195,60 @@
 			}
 		}
 	}
-	l := &lane{account: owner, class: r.class, adapter: a, constrained: r.constrained(), wantedIndex: -1}
+	l := &lane{account: owner, class: r.class, adapter: a, constrained: r.constrained(), loadIndex: -1}
 	a.lanes = append(a.lanes, l)
 	return l
 }
 
-// unqueue takes r out of every queue.
-func (s *scheduler) unqueue(r *request) {
+// dequeue removes r from every queue.
+func (s *scheduler) dequeue(r *request) {
 	l := r.lane
 	ad := l.adapter
 	l.remove(r)
 	if l.size == 0 {
-		s.unwant(l)
+		s.dropPendingLoad(l)
 		i := slices.Index(ad.lanes, l)
 		ad.lanes = slices.Delete(ad.lanes, i, i+1)
 	}
 	ad.waiting[r.class]--
 	if ad.queued() == 0 {
-		s.dropWaiter(ad)
+		s.dropWaitingAdapter(ad)
 	}
 	s.deadlines.drop(r)
 	s.dequeueFair(l.account, r)
 }
 
-func (s *scheduler) dropWaiter(ad *adapter) {
-	last := s.waiters[len(s.waiters)-1]
-	s.waiters[ad.index] = last
-	last.index = ad.index
-	s.waiters[len(s.waiters)-1] = nil
-	s.waiters = s.waiters[:len(s.waiters)-1]
-	ad.index = -1
+func (s *scheduler) dropWaitingAdapter(ad *adapter) {
+	last := s.waitingAdapters[len(s.waitingAdapters)-1]
+	s.waitingAdapters[ad.waitingIndex] = last
+	last.waitingIndex = ad.waitingIndex
+	s.waitingAdapters[len(s.waitingAdapters)-1] = nil
+	s.waitingAdapters = s.waitingAdapters[:len(s.waitingAdapters)-1]
+	ad.waitingIndex = -1
 }
 
-// refuse ends the queued request r with err.
+// refuse removes the queued request r and reports err as its result.
 func (s *scheduler) refuse(r *request, err *result.Error) {
-	s.unqueue(r)
+	s.dequeue(r)
 	s.actions = append(s.actions, Action{Kind: Refuse, ID: r.ID, Err: err})
 	s.release(r)
 }
 
 func (s *scheduler) newRequest() *request {
-	r := s.unused
+	r := s.freeRequests
 	if r == nil {
 		return &request{}
 	}
-	s.unused = r.next
+	s.freeRequests = r.next
 	*r = request{}
 	return r
 }
 
-// release forgets r, which is neither queued nor running.
+// release deletes r, which is neither queued nor running, and keeps its memory for reuse.
 func (s *scheduler) release(r *request) {
 	delete(s.requests, r.ID)
-	*r = request{next: s.unused}
-	s.unused = r
+	*r = request{next: s.freeRequests}
+	s.freeRequests = r
 }
 
 // Remove implements Scheduler.
@@ -253,7 +257,7 @@
 	if r == nil || r.lane == nil {
 		return false
 	}
-	s.unqueue(r)
+	s.dequeue(r)
 	s.release(r)
 	return true
 }
@@ -264,66 +268,67 @@
 	if r == nil || r.lane != nil {
 		return
 	}
-	e, p := r.ep, r.place
-	s.settleFair(s.account(r.Account), r, used)
+	e, p := r.runsOn, r.placement
+	s.adjustTokens(s.account(r.Account), r, used)
 	e.finish(now, r)
 	if r.Isolated {
-		s.recheckEngine(e)
+		s.recheckEndpoint(e)
 	}
 	if p != nil {
 		p.running--
-		p.used = now
+		p.lastUsed = now
 	}
 	if refused != nil {
-		s.noteRefusal(now, e, p, refused)
+		s.handleRefusal(now, e, p, refused)
 	}
 	s.release(r)
-	e.freed = true
+	e.mayHaveRoom = true
 	s.loadsDue = true
 }
 
 // SetEndpoints implements Scheduler.
 func (s *scheduler) SetEndpoints(now time.Time, specs []EndpointSpec) {
-	kept := make([]*engine, 0, len(specs))
+	kept := make([]*endpointView, 0, len(specs))
 	for _, spec := range specs {
 		if spec.MaxRunning <= 0 {
-			spec.MaxRunning = maxRunningUnset
+			spec.MaxRunning = unboundedRunning
 		}
-		e := s.engine(spec.Name)
+		e := s.endpoint(spec.Name)
 		if e == nil {
-			e = newEngine()
+			e = newEndpointView()
 		}
 		e.spec = spec
-		s.settle(e)
-		s.recheckEngine(e)
+		s.syncState(e)
+		s.recheckEndpoint(e)
 		kept = append(kept, e)
 	}
-	for _, e := range s.engines {
+	for _, e := range s.endpoints {
 		if !slices.Contains(kept, e) {
-			s.empty(now, e)
+			s.clearView(now, e)
 			e.state = endpointLeaving
 		}
 	}
-	slices.SortFunc(kept, func(a, b *engine) int { return strings.Compare(a.spec.Name, b.spec.Name) })
-	s.engines = kept
+	slices.SortFunc(kept, func(a, b *endpointView) int { return strings.Compare(a.spec.Name, b.spec.Name) })
+	s.endpoints = kept
 	s.loadsDue = true
 }
 
-// maxRunningUnset stands for an endpoint whose description does not bound its running requests.
-const maxRunningUnset = 1 << 20
+// unboundedRunning is used as MaxRunning for an endpoint whose description does not limit its running
+// requests.
+const unboundedRunning = 1 << 20
 
-func newEngine() *engine {
-	return &engine{
-		state:    endpointChart.Initial,
-		orders:   map[endpoint.AdapterVersion]int{},
-		avoided:  map[endpoint.AdapterVersion]bool{},
-		prefixes: prefixView{},
-		removed:  map[endpoint.AdapterVersion]time.Time{},
+func newEndpointView() *endpointView {
+	return &endpointView{
+		state:      endpointChart.Initial,
+		openOrders: map[endpoint.AdapterVersion]int{},
+		avoided:    map[endpoint.AdapterVersion]bool{},
+		prefixes:   prefixView{},
+		removedAt:  map[endpoint.AdapterVersion]time.Time{},
 	}
 }
 
-func (s *scheduler) engine(name string) *engine {
-	for _, e := range s.engines {
+func (s *scheduler) endpoint(name string) *endpointView {
+	for _, e := range s.endpoints {
 		if e.spec.Name == name {
 			return e
 		}
@@ -337,13 +342,13 @@
 	if len(s.deadlines) > 0 {
 		wake = s.deadlines[0].Deadline
 	}
-	if s.waiting > 0 {
-		wake = earliest(wake, s.loadAt)
-		if !s.noneSince.IsZero() {
-			wake = earliest(wake, s.noneSince.Add(s.cfg.EndpointGrace))
+	if s.queuedItems > 0 {
+		wake = earliest(wake, s.nextLoadAt)
+		if !s.noEndpointSince.IsZero() {
+			wake = earliest(wake, s.noEndpointSince.Add(s.cfg.EndpointGrace))
 		}
 	}
-	for _, e := range s.engines {
+	for _, e := range s.endpoints {
 		if e.state == endpointDown && e.spec.Service {
 			wake = earliest(wake, e.downUntil)
 		}
@@ -351,7 +356,7 @@
 	return wake
 }
 
-// earliest returns the earlier of two times, where zero means never.
+// earliest returns the earlier of two times. The zero time means never.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
--- a/pkg/scheduler/scheduler_test.go
+++ b/pkg/scheduler/scheduler_test.go
@@ -16,16 +16,16 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// freePermits grants every load.
-type freePermits struct{}
+// unlimitedPermits grants every load.
+type unlimitedPermits struct{}
 
-func (freePermits) TryTake(time.Time) bool { return true }
+func (unlimitedPermits) TryTake(time.Time) bool { return true }
 
 func version(n int) endpoint.AdapterVersion {
 	return endpoint.AdapterVersion{Adapter: fmt.Sprintf("a%d", n), Version: "1"}
 }
 
-func engineSpecs(n, slots, running int) []EndpointSpec {
+func endpointSpecs(n, slots, running int) []EndpointSpec {
 	specs := make([]EndpointSpec, n)
 	for i := range specs {
 		specs[i] = EndpointSpec{Name: fmt.Sprintf("e%d", i), Slots: slots, MaxRunning: running}
@@ -33,11 +33,12 @@
 	return specs
 }
 
-// newTest returns a scheduler of n engines, all of which have reported that they are empty.
-func newTest(n, slots, running int) *scheduler {
-	s := New(Config{}, rand.New(rand.NewSource(1)), freePermits{}).(*scheduler)
-	s.SetEndpoints(epoch, engineSpecs(n, slots, running))
-	for _, e := range s.engines {
+// newTestScheduler returns a scheduler with n endpoints that have all reported that no adapter is
+// loaded.
+func newTestScheduler(n, slots, running int) *scheduler {
+	s := New(Config{}, rand.New(rand.NewSource(1)), unlimitedPermits{}).(*scheduler)
+	s.SetEndpoints(epoch, endpointSpecs(n, slots, running))
+	for _, e := range s.endpoints {
 		s.Report(epoch, e.spec.Name, endpoint.LoadReport{Incarnation: "1", Slots: slots})
 	}
 	return s
@@ -58,8 +59,8 @@
 	return list
 }
 
-func TestLoadsThenDispatches(t *testing.T) {
-	s := newTest(2, 1, 4)
+func TestItemsOfOneAdapterShareALoad(t *testing.T) {
+	s := newTestScheduler(2, 1, 4)
 	require.Nil(t, s.Enqueue(epoch, item(1, "x", 1)))
 	require.Nil(t, s.Enqueue(epoch, item(2, "y", 1)))
 	actions := s.Decide(epoch)
@@ -68,8 +69,8 @@
 	require.Equal(t, []ActionKind{Dispatch, Dispatch}, kinds(s.Decide(epoch)))
 }
 
-func TestUsedAdapterIsNoVictim(t *testing.T) {
-	s := newTest(1, 1, 4)
+func TestAdapterInUseIsNotEvicted(t *testing.T) {
+	s := newTestScheduler(1, 1, 4)
 	require.Nil(t, s.Enqueue(epoch, item(1, "x", 1)))
 	s.Decide(epoch)
 	s.Loaded(epoch, "e0", version(1), nil)
@@ -82,8 +83,10 @@
 	require.Equal(t, version(1), actions[0].Victim)
 }
 
-func TestRestartEmptiesView(t *testing.T) {
-	s := newTest(1, 2, 4)
+// TestRestartClearsEndpointView checks that an adapter is loaded again after the endpoint has
+// restarted, which the new incarnation in its report shows.
+func TestRestartClearsEndpointView(t *testing.T) {
+	s := newTestScheduler(1, 2, 4)
 	require.Nil(t, s.Enqueue(epoch, item(1, "x", 1)))
 	s.Decide(epoch)
 	s.Loaded(epoch, "e0", version(1), nil)
@@ -91,8 +94,10 @@
 	require.Equal(t, []ActionKind{Load}, kinds(s.Decide(epoch.Add(time.Second))))
 }
 
+// TestFailedLoadsEndInRefusal checks that a failed load is retried on another endpoint and that the
+// item is refused after LoadAttempts failures.
 func TestFailedLoadsEndInRefusal(t *testing.T) {
-	s := newTest(2, 1, 4)
+	s := newTestScheduler(2, 1, 4)
 	now := epoch
 	require.Nil(t, s.Enqueue(now, item(1, "x", 1)))
 	tried := map[string]bool{}
@@ -110,9 +115,12 @@
 	require.Equal(t, result.NotRun, actions[0].Err.Outcome)
 }
 
-func TestTakenOverAdapterIsInUseUntilALaterReport(t *testing.T) {
-	s := New(Config{}, rand.New(rand.NewSource(1)), freePermits{}).(*scheduler)
-	s.SetEndpoints(epoch, engineSpecs(1, 1, 4))
+// TestAdapterCountsAsInUseAfterTakeoverUntilLaterReport guards against evicting an adapter that
+// requests of the previous owner still use: a report taken before the takeover, or at that very time,
+// does not prove that the adapter is idle.
+func TestAdapterCountsAsInUseAfterTakeoverUntilLaterReport(t *testing.T) {
+	s := New(Config{}, rand.New(rand.NewSource(1)), unlimitedPermits{}).(*scheduler)
+	s.SetEndpoints(epoch, endpointSpecs(1, 1, 4))
 	s.TakenOver(epoch, false)
 	report := endpoint.LoadReport{
 		Incarnation: "1", Age: 2 * time.Second,
@@ -127,17 +135,19 @@
 	require.Equal(t, []ActionKind{Load}, kinds(s.Decide(epoch.Add(4*time.Second))))
 }
 
-// stingyPermits grants one load.
-type stingyPermits struct{ taken bool }
+// singlePermit grants one load.
+type singlePermit struct{ taken bool }
 
-func (p *stingyPermits) TryTake(time.Time) bool {
+func (p *singlePermit) TryTake(time.Time) bool {
 	first := !p.taken
 	p.taken = true
 	return first
 }
 
-func TestHopelessItemIsRefusedAtOnce(t *testing.T) {
-	s := newTest(1, 2, 4)
+// TestUnmeetableDeadlineIsRefusedAtOnce checks that an item is refused without waiting if its
+// deadline is nearer than half the shortest load seen, 300 ms.
+func TestUnmeetableDeadlineIsRefusedAtOnce(t *testing.T) {
+	s := newTestScheduler(1, 2, 4)
 	require.Nil(t, s.Enqueue(epoch, item(1, "x", 1)))
 	s.Decide(epoch)
 	now := epoch.Add(300 * time.Millisecond)
@@ -154,7 +164,7 @@
 }
 
 func TestAccountQueueIsBounded(t *testing.T) {
-	s := New(Config{AccountQueueLimit: 2}, rand.New(rand.NewSource(1)), &stingyPermits{}).(*scheduler)
+	s := New(Config{AccountQueueLimit: 2}, rand.New(rand.NewSource(1)), &singlePermit{}).(*scheduler)
 	for n := range 2 {
 		require.Nil(t, s.Enqueue(epoch, item(n, "x", n)))
 	}
--- a/pkg/scheduler/snapshot.go
+++ b/pkg/scheduler/snapshot.go
@@ -10,7 +10,7 @@
 // Snapshot implements Scheduler.
 func (s *scheduler) Snapshot(now time.Time) Snapshot {
 	snapshot := Snapshot{Queued: s.queueStates(now)}
-	for _, e := range s.engines {
+	for _, e := range s.endpoints {
 		snapshot.Endpoints = append(snapshot.Endpoints, s.endpointState(now, e))
 	}
 	return snapshot
@@ -19,7 +19,7 @@
 func (s *scheduler) queueStates(now time.Time) []QueueState {
 	var states []QueueState
 	for _, a := range s.accounts {
-		for class := range classes {
+		for class := range classCount {
 			if a.waiting[class] == 0 {
 				continue
 			}
@@ -38,10 +38,10 @@
 	return states
 }
 
-// oldest returns how long the oldest item of the account and class has waited.
+// oldest returns how long the oldest queued item of the account and class has waited.
 func (s *scheduler) oldest(now time.Time, a *account, class int) time.Duration {
 	var oldest time.Duration
-	for _, ad := range s.waiters {
+	for _, ad := range s.waitingAdapters {
 		for _, l := range ad.lanes {
 			if l.account == a && l.class == class {
 				oldest = max(oldest, now.Sub(l.head.enqueued))
@@ -51,7 +51,7 @@
 	return oldest
 }
 
-func (s *scheduler) endpointState(now time.Time, e *engine) EndpointState {
+func (s *scheduler) endpointState(now time.Time, e *endpointView) EndpointState {
 	state := EndpointState{
 		Name:        e.spec.Name,
 		State:       string(e.state),
@@ -59,7 +59,7 @@
 		Running:     e.running,
 		Slots:       e.spec.Slots,
 	}
-	for _, p := range e.places {
+	for _, p := range e.placements {
 		state.Adapters = append(state.Adapters, AdapterState{
 			Adapter: p.adapter.version.String(),
 			State:   string(p.state),
--- a/pkg/scheduler/view.go
+++ b/pkg/scheduler/view.go
@@ -8,21 +8,22 @@
 	"github.com/mallowlink/mallowlink/pkg/endpoint"
 )
 
-// adapter is what is known of one adapter version across the group.
+// adapter is the state of one adapter version across the group.
 type adapter struct {
 	version endpoint.AdapterVersion
-	// rate is the decayed request rate in requests per half-life, as of rated.
-	rate  float64
-	rated time.Time
-	// lanes are the lanes that are not empty.
+	// rate is the decayed request rate in requests per half-life, as of rateAsOf.
+	rate     float64
+	rateAsOf time.Time
+	// lanes lists the lanes of the adapter. None of them is empty.
 	lanes   []*lane
-	waiting [classes]int
-	// index is the position in scheduler.waiters, -1 if nothing waits.
-	index int
-	// places holds the endpoints on which the adapter is not absent.
-	places []*placement
-	// failures counts failed loads since the last success. No load starts before notBefore, and items
-	// are refused until brokenUntil.
+	waiting [classCount]int
+	// waitingIndex is the position in scheduler.waitingAdapters, or -1 if nothing is queued.
+	waitingIndex int
+	// placements lists the endpoints on which the adapter is not absent.
+	placements []*placement
+	// failures counts the failed loads since the last success or cooldown, and failedOn lists the
+	// endpoints on which they happened. No load starts before notBefore. New items are refused until
+	// brokenUntil.
 	failures    int
 	failedOn    []string
 	notBefore   time.Time
@@ -31,29 +32,29 @@
 
 func (a *adapter) queued() int { return a.waiting[interactive] + a.waiting[batch] }
 
-// touch counts a request of the weight at now.
-func (a *adapter) touch(now time.Time, halfLife time.Duration, weight float64) {
+// recordRequest adds a request with the given weight to the rate at now.
+func (a *adapter) recordRequest(now time.Time, halfLife time.Duration, weight float64) {
 	a.rate = a.rateAt(now, halfLife) + weight
-	a.rated = now
+	a.rateAsOf = now
 }
 
-// touchWeight is what a request of each class adds to the rate that keeps its adapter resident. Batch
-// items can wait for a load.
-var touchWeight = [classes]float64{interactive: 1, batch: 0.1}
+// requestWeight is how much a request of each class adds to the rate that keeps its adapter resident.
+// Batch items weigh less because they can wait for a load.
+var requestWeight = [classCount]float64{interactive: 1, batch: 0.1}
 
 // rateAt returns the decayed request rate at now.
 func (a *adapter) rateAt(now time.Time, halfLife time.Duration) float64 {
-	age := now.Sub(a.rated)
+	age := now.Sub(a.rateAsOf)
 	if a.rate == 0 || age <= 0 {
 		return a.rate
 	}
 	return a.rate * math.Exp2(-float64(age)/float64(halfLife))
 }
 
-// on returns the adapter's placement on e, or nil.
-func (a *adapter) on(e *engine) *placement {
-	for _, p := range a.places {
-		if p.ep == e {
+// placementOn returns the placement of the adapter on e, or nil.
+func (a *adapter) placementOn(e *endpointView) *placement {
+	for _, p := range a.placements {
+		if p.endpoint == e {
 			return p
 		}
 	}
@@ -61,7 +62,7 @@
 }
 
 func (a *adapter) loading() bool {
-	for _, p := range a.places {
+	for _, p := range a.placements {
 		if p.state == adapterLoading {
 			return true
 		}
@@ -69,66 +70,72 @@
 	return false
 }
 
-// placement is one adapter version on one endpoint while it is not absent there.
+// placement is one adapter version on one endpoint on which it is not absent.
 type placement struct {
-	adapter *adapter
-	ep      *engine
-	state   chart.State
-	// running counts the requests that this owner has dispatched to it.
+	adapter  *adapter
+	endpoint *endpointView
+	state    chart.State
+	// running counts the requests that this owner has dispatched to the placement.
 	running int
-	// changed is when the state last changed, used when a request last started or ended.
-	changed time.Time
-	used    time.Time
-	// foreign says that the engine has reported requests that this owner does not know of. Such an
-	// adapter counts as in use until a report shows that it is idle.
-	foreign bool
-	// unproven says that no report taken after a takeover has shown it idle.
-	unproven bool
-	// victimOf is the adapter whose load takes this one's slot while it is unloading.
-	victimOf *adapter
+	// stateChanged is when the state last changed. lastUsed is when a request last started or ended.
+	stateChanged time.Time
+	lastUsed     time.Time
+	// foreignUse is set when the endpoint has reported requests that this owner does not know of, or
+	// has not unloaded the adapter when ordered to. The adapter then counts as in use until a report
+	// shows that it is idle.
+	foreignUse bool
+	// idleUnconfirmed is set after a takeover until a report taken after it shows that the adapter is
+	// idle.
+	idleUnconfirmed bool
+	// replacedBy is the adapter whose load takes the slot of this one, set while this one is
+	// unloading.
+	replacedBy *adapter
 }
 
-// engine is what is known of one endpoint: a model engine or a plain service.
-type engine struct {
+// endpointView is the state of one endpoint, a model engine or a plain service, as far as reports and
+// the results of requests and orders show it.
+type endpointView struct {
 	spec        EndpointSpec
 	state       chart.State
 	incarnation string
-	places      []*placement
-	// orphaned says that a placement was dropped while requests of this owner ran on it.
-	orphaned bool
-	// orders counts the load orders for each adapter that have not ended, also those that a restart
-	// has made void.
-	orders  map[endpoint.AdapterVersion]int
-	avoided map[endpoint.AdapterVersion]bool
-	// removed holds when adapters became absent, until a later report has come.
-	removed  map[endpoint.AdapterVersion]time.Time
-	running  int
-	batches  int
-	isolated int
-	// batchCredit is the tokens that batch items may take ahead of interactive ones.
+	placements  []*placement
+	// hasOrphans is set when a placement was deleted while requests of this owner were running on it.
+	hasOrphans bool
+	// openOrders counts, for each adapter, the load orders that have not ended, including those that
+	// a restart of the endpoint has made void.
+	openOrders map[endpoint.AdapterVersion]int
+	avoided    map[endpoint.AdapterVersion]bool
+	// removedAt records when adapters became absent, until a report taken later arrives.
+	removedAt       map[endpoint.AdapterVersion]time.Time
+	running         int
+	runningBatch    int
+	runningIsolated int
+	// batchCredit is the number of tokens that batch items may use ahead of interactive items.
 	batchCredit float64
 	load        loadView
 	prefixes    prefixView
-	// takenOver is when this owner took over, zero once a later report has come.
-	takenOver time.Time
-	downUntil time.Time
-	// loadFailures counts failed loads since the last success. No load starts before loadAfter.
-	loadFailures int
-	loadAfter    time.Time
-	draining     bool
-	// freed says that the endpoint may have room for queued items.
-	freed bool
+	// takenOverAt is when this owner took over. It is reset to zero once a report taken later
+	// arrives.
+	takenOverAt time.Time
+	downUntil   time.Time
+	// loadFailures counts the failed loads since the last success. No load starts before
+	// loadsNotBefore.
+	loadFailures   int
+	loadsNotBefore time.Time
+	draining       bool
+	// mayHaveRoom is set when the endpoint may have got room for queued items.
+	mayHaveRoom bool
 }
 
-func (e *engine) alive() bool { return e.state == endpointAlive }
+func (e *endpointView) alive() bool { return e.state == endpointAlive }
 
-// room reports whether the endpoint can take one more item of the class.
-func (e *engine) room(class int, batchShare float64) bool {
+// hasRoom reports whether the endpoint can take one more item of the class.
+func (e *endpointView) hasRoom(class int, batchShare float64) bool {
 	if !e.alive() || max(e.running, e.load.current()) >= e.spec.MaxRunning {
 		return false
 	}
 	if class == batch {
-		return e.batches < batchLimit(e.spec.MaxRunning, batchShare)
+		return e.runningBatch < batchLimit(e.spec.MaxRunning, batchShare)
 	}
 	return true
 }
@@ -137,21 +144,23 @@
 	return max(1, int(share*float64(maxRunning)))
 }
 
-// usedSlots counts the slots that are taken or about to be.
-func (e *engine) usedSlots() int {
+// usedSlots counts the slots in use or reserved. An adapter that is being replaced does not count,
+// because its slot is counted for its replacement.
+func (e *endpointView) usedSlots() int {
 	n := 0
-	for _, p := range e.places {
-		if p.state != adapterUnloading || p.victimOf == nil {
+	for _, p := range e.placements {
+		if p.state != adapterUnloading || p.replacedBy == nil {
 			n++
 		}
 	}
 	return n
 }
 
-// loadView corrects the lagging load reports of an endpoint by the work started and ended since.
+// loadView is the load of an endpoint. It corrects the load reports, which lag behind, by the
+// requests started and ended since.
 type loadView struct {
 	reported int
-	// changes are the starts and ends after the last report was taken.
+	// changes lists the starts and ends after the last report was taken, and sum is their total.
 	changes []loadChange
 	sum     int
 }
@@ -161,7 +170,7 @@
 	delta int
 }
 
-// maxLoadChanges bounds the memory kept for an endpoint that sends no reports.
+// maxLoadChanges limits the memory used for an endpoint that sends no reports.
 const maxLoadChanges = 1024
 
 func (v *loadView) add(now time.Time, delta int) {
@@ -172,7 +181,7 @@
 	v.sum += delta
 }
 
-// fold counts the changes up to and including at as reported.
+// fold adds the changes up to and including at to the reported load.
 func (v *loadView) fold(at time.Time) {
 	n := 0
 	for n < len(v.changes) && !v.changes[n].at.After(at) {
@@ -183,13 +192,13 @@
 	v.changes = v.changes[:copy(v.changes, v.changes[n:])]
 }
 
-// report replaces what was known up to taken by running.
-func (v *loadView) report(taken time.Time, running int) {
-	v.fold(taken)
+// report replaces the load up to takenAt by running.
+func (v *loadView) report(takenAt time.Time, running int) {
+	v.fold(takenAt)
 	v.reported = running
 }
 
 func (v *loadView) reset() { *v = loadView{changes: v.changes[:0]} }
 
-// current returns the corrected number of requests at the endpoint.
+// current returns the corrected number of requests on the endpoint.
 func (v *loadView) current() int { return v.reported + v.sum }
