--- a/pkg/scheduler/api.go
+++ b/pkg/scheduler/api.go
@@ -92,9 +92,9 @@
 	Enqueue(now time.Time, item Item) *result.Error
 	// Remove removes an item from the queue. It reports false if the item is no longer queued.
 	Remove(now time.Time, id work.AttemptID) bool
-	// Finished reports that a dispatched item has ended. The number of tokens that it cost in the end
-	// is used. A non-nil refused means that the endpoint did not run the item, because it lacked the
-	// adapter or was busy.
+	// Finished reports that a dispatched item has ended. The parameter used is the number of tokens
+	// that the item really cost. A non-nil refused means that the endpoint did not run the item,
+	// because it lacked the adapter or was busy.
 	Finished(now time.Time, id work.AttemptID, used int64, refused error)
 	// Loaded reports the result of a Load action.
 	Loaded(now time.Time, endpoint string, adapter endpoint.AdapterVersion, err error)
--- a/pkg/tokenbucket/bucket_test.go
+++ b/pkg/tokenbucket/bucket_test.go
@@ -14,7 +14,7 @@
 	expiryMargin  = 200 * time.Millisecond
 )
 
-// process is a VM that follows the protocol and asks for as many tokens as it can.
+// process is a VM that follows the protocol and holds on to as many tokens as it can get.
 type process struct {
 	seq, accepted uint64
 	held          int64
