--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -10,76 +10,89 @@
 	"github.com/mallowlink/mallowlink/pkg/result"
 )
 
-// account is what one VM holds of one client account.
+// account is one VM's state of one client account: the balance of granted tokens, the requests that wait
+// for tokens, and what has yet to be reported to the account's home.
 type account struct {
 	name string
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 
-	tokens int64
-	// told is what the home believes that tokens is.
-	told int64
-	// granted is when the last request whose tokens were taken was sent.
-	granted time.Time
-	// fencing is the lowest number of a home whose grants are taken.
-	fencing       uint64
+	// balance is the tokens that this VM may still spend.
+	balance int64
+	// homeBalance is the balance that the home has on record for this VM.
+	homeBalance int64
+	// grantSentAt is when the VM sent the last grant request whose reply it accepted. The lifetime of the
+	// balance is counted from then.
+	grantSentAt time.Time
+	// fencing is the lowest fencing token of a home whose grants are accepted.
+	fencing uint64
+	// seq is the sequence number of the last request sent, accepted that of the last reply accepted.
 	seq, accepted uint64
-	waiters       []*waiter
-	refunds       []refundable
-	stamps        []stamp
-	fetching      bool
-	armed         bool
+	// waiters are served in the order of their arrival.
+	waiters []*waiter
+	// refunds are sent with the next request to the home.
+	refunds []pendingRefund
+	// stamps are those of replies from the present home, oldest first.
+	stamps []stamp
+	// fetching is set while a goroutine sends grant requests for this account; there is one at most.
+	fetching bool
+	// giveBackArmed is set while the timer that gives unspent tokens back is running.
+	giveBackArmed bool
 	demand        demand
 }
 
-// waiter is one request that waits for tokens.
+// waiter is one request waiting for tokens.
 type waiter struct {
-	tokens int64
-	since  time.Time
-	// deadline is when the request has to have its tokens; zero if it has none.
+	tokens     int64
+	enqueuedAt time.Time
+	// deadline is the deadline of the request, or zero if it has none.
 	deadline time.Time
-	// over is set once the home has said that tokens are short, to when they will be there.
-	over time.Duration
+	// retryAfter is set once the home has replied that tokens are short: the time until they are expected to
+	// be available.
+	retryAfter time.Duration
+	// done receives nil if the request is admitted, and the reason for its refusal otherwise.
 	done chan error
 }
 
-// stamp is a reply's stamp with the time at which the VM took the reply.
+// stamp is the stamp of a home's reply, with the time at which the VM accepted that reply.
 type stamp struct {
-	value time.Duration
-	at    time.Time
+	value      time.Duration
+	receivedAt time.Time
 }
 
-// refundable is tokens that a request admitted at that time has not used.
-type refundable struct {
+// pendingRefund is the tokens that a request did not use, with the time at which it was admitted.
+type pendingRefund struct {
 	tokens   int64
 	admitted time.Time
 }
 
-// expire drops tokens whose time is over. a.mu is held.
+// expire discards the balance once grantLifetime has passed. a.mu must be held.
 func (a *account) expire(now time.Time) {
-	if age := clock.Elapsed(a.granted, now); age >= grantLife {
-		a.tokens = 0
+	if age := clock.Elapsed(a.grantSentAt, now); age >= grantLifetime {
+		a.balance = 0
 	}
 }
 
-// enter spends the tokens if they are there and nobody waits, and queues a waiter otherwise.
-func (a *account) enter(tokens int64, now, deadline time.Time) *waiter {
+// spendOrEnqueue spends the tokens and returns nil if the balance suffices and no request is waiting.
+// Otherwise it returns a new waiter at the end of the queue.
+func (a *account) spendOrEnqueue(tokens int64, now, deadline time.Time) *waiter {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.expire(now)
 	a.demand.add(tokens, now)
-	if len(a.waiters) == 0 && a.tokens >= tokens {
-		a.tokens -= tokens
+	if len(a.waiters) == 0 && a.balance >= tokens {
+		a.balance -= tokens
 		return nil
 	}
-	w := &waiter{tokens: tokens, since: now, deadline: deadline, done: make(chan error, 1)}
+	w := &waiter{tokens: tokens, enqueuedAt: now, deadline: deadline, done: make(chan error, 1)}
 	a.waiters = append(a.waiters, w)
 	return w
 }
 
-// leave takes out a waiter whose caller has gone away or whose deadline has passed.
-func (a *account) leave(w *waiter) error {
+// withdraw removes a waiter whose caller has gone away or whose deadline has passed, and returns its
+// refusal. If the waiter already has its result, withdraw returns that instead.
+func (a *account) withdraw(w *waiter) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	i := slices.Index(a.waiters, w)
@@ -90,39 +103,41 @@
 	return w.refusal()
 }
 
-// refusal is the answer to a waiter that gets no tokens.
+// refusal returns the error for a waiter that gets no tokens.
 func (w *waiter) refusal() error {
-	if w.over > 0 {
+	if w.retryAfter > 0 {
 		err := result.New(result.OverRate, "the client account is over its rate")
-		err.RetryAfter = w.over
+		err.RetryAfter = w.retryAfter
 		return err
 	}
 	err := result.New(result.NoOwner, "the client account has no home at the moment")
-	err.RetryAfter = noOwnerRetry
+	err.RetryAfter = noOwnerRetryAfter
 	return err
 }
 
-// serve admits waiters in order while tokens last, but for those whose tokens come too late. a.mu is held.
-func (a *account) serve(now time.Time) {
+// admitWaiters admits waiters in order while the balance lasts, and refuses those for which the tokens have
+// come too late. a.mu must be held.
+func (a *account) admitWaiters(now time.Time) {
 	a.expire(now)
-	for len(a.waiters) > 0 && a.tokens >= a.waiters[0].tokens {
-		if now.After(a.waiters[0].latest()) {
-			a.answer(0, a.waiters[0].refusal())
+	for len(a.waiters) > 0 && a.balance >= a.waiters[0].tokens {
+		if now.After(a.waiters[0].admitBy()) {
+			a.finishWaiter(0, a.waiters[0].refusal())
 			continue
 		}
-		a.tokens -= a.waiters[0].tokens
-		a.answer(0, nil)
+		a.balance -= a.waiters[0].tokens
+		a.finishWaiter(0, nil)
 	}
 }
 
-// answer ends the wait of waiter i. a.mu is held.
-func (a *account) answer(i int, err error) {
+// finishWaiter removes waiter i from the queue and gives it its result. a.mu must be held.
+func (a *account) finishWaiter(i int, err error) {
 	a.waiters[i].done <- err
 	a.waiters = slices.Delete(a.waiters, i, i+1)
 }
 
-// revoke takes in a new home's number and returns the unspent tokens.
-func (a *account) revoke(fencing uint64, now time.Time) int64 {
+// fence records the fencing token of a new home, so that grants of earlier homes are refused from then on,
+// and returns the balance.
+func (a *account) fence(fencing uint64, now time.Time) int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.expire(now)
@@ -130,10 +145,10 @@
 		a.fencing = fencing
 		a.stamps = nil
 	}
-	return a.tokens
+	return a.balance
 }
 
-// startFetching reports whether the caller is to run the fetch loop.
+// startFetching reports whether the caller must run the fetch loop. It returns false if one is running.
 func (a *account) startFetching() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -144,42 +159,43 @@
 	return true
 }
 
-// request builds the next request. It reports false, and ends the fetching, if there is nothing to
-// ask for or to give back.
-func (a *account) request(now time.Time, giveBack bool, limit Limit) (GrantRequest, bool) {
+// nextRequest builds the next request to the home. If there is nothing to ask for, to give back or to
+// report, it clears fetching and returns false.
+func (a *account) nextRequest(now time.Time, giveBack bool, limit Limit) (GrantRequest, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.serve(now)
+	a.admitWaiters(now)
 	req := GrantRequest{Account: a.name, Accepted: a.accepted, Fencing: a.fencing}
 	if len(a.waiters) > 0 {
-		a.fill(&req, now, limit)
+		a.setAmounts(&req, now, limit)
 	} else if giveBack {
-		req.Returned, a.tokens = a.tokens, 0
+		req.Returned, a.balance = a.balance, 0
 	}
-	if len(a.waiters) == 0 && (!giveBack || req.Returned == 0 && !a.untold()) {
+	if len(a.waiters) == 0 && (!giveBack || req.Returned == 0 && !a.hasUnreported()) {
 		a.fetching = false
 		return req, false
 	}
 	a.seq++
 	req.Seq = a.seq
-	req.Held = a.tokens
-	req.Refunds = a.takeRefunds()
+	req.Held = a.balance
+	req.Refunds = a.drainRefunds()
 	return req, true
 }
 
-// fill states what the waiters need: the first of them at least, and all of them with the demand of
-// the near future at most. a.mu is held.
-func (a *account) fill(req *GrantRequest, now time.Time, limit Limit) {
-	req.Need = a.waiters[0].tokens - a.tokens
+// setAmounts sets the amounts of a request. Need covers the first waiter. Want covers all waiters and the
+// demand expected within prefetchWindow, up to the burst. a.mu must be held.
+func (a *account) setAmounts(req *GrantRequest, now time.Time, limit Limit) {
+	req.Need = a.waiters[0].tokens - a.balance
 	waiting := int64(0)
 	for _, w := range a.waiters {
 		waiting += w.tokens
 	}
-	ahead := int64(a.demand.rate(now) * prefetch.Seconds())
-	req.Want = max(min(waiting+ahead, int64(limit.Burst))-a.tokens, req.Need)
+	ahead := int64(a.demand.rate(now) * prefetchWindow.Seconds())
+	req.Want = max(min(waiting+ahead, int64(limit.Burst))-a.balance, req.Need)
 }
 
-// accept takes the tokens of a reply. It reports false for a reply that is not to be used.
+// accept adds the tokens of a reply to the balance. It returns false, and changes nothing, if the reply must
+// not be used: because it is late, malformed, or from a home that has since been replaced.
 func (a *account) accept(req GrantRequest, reply GrantReply, sent, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -194,20 +210,20 @@
 		a.stamps = nil
 	}
 	a.fencing = reply.Fencing
-	a.keepStamp(reply.Stamp, now)
+	a.recordStamp(reply.Stamp, now)
 	a.accepted = reply.Seq
-	a.tokens += reply.Tokens
-	a.told = req.Held + reply.Tokens
-	a.granted = sent
+	a.balance += reply.Tokens
+	a.homeBalance = req.Held + reply.Tokens
+	a.grantSentAt = sent
 	return true
 }
 
-// settle acts on an accepted reply: it admits, refuses at the home's word, or lets wait. It returns
-// like ask.
-func (a *account) settle(req GrantRequest, reply GrantReply, now time.Time, rate float64) (time.Duration, bool) {
+// applyReply admits, refuses or keeps the waiters as an accepted reply says. Its results are those of
+// requestTokens.
+func (a *account) applyReply(req GrantRequest, reply GrantReply, now time.Time, rate float64) (time.Duration, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.serve(now)
+	a.admitWaiters(now)
 	if len(a.waiters) == 0 {
 		a.fetching = false
 		return 0, false
@@ -217,33 +233,34 @@
 	}
 	first := a.waiters[0]
 	for _, w := range a.waiters {
-		w.over = reply.RetryAfter
+		w.retryAfter = reply.RetryAfter
 	}
-	if first.tokens-a.tokens < req.Need {
-		// The waiter that the request was made for has gone.
+	if first.tokens-a.balance < req.Need {
+		// The waiter for which the request was made has left the queue.
 		return 0, true
 	}
 	if !reply.Wait {
-		a.refuse(first.tokens, reply.RetryAfter)
+		a.refuseAtLeast(first.tokens, reply.RetryAfter)
 		return 0, true
 	}
-	a.refuseBeyond(reply, now, rate)
+	a.refuseUnservable(reply, now, rate)
 	if len(a.waiters) == 0 {
 		return 0, true
 	}
-	return min(reply.RetryAfter, askAgain), true
+	return min(reply.RetryAfter, maxPollInterval), true
 }
 
-// refuseBeyond ends the waits that the account's rate cannot serve: those that, with the waits ahead
-// of them, ask for more than the account may use, and those whose turn would come too late. Each of
-// the others has its turn after the home's RetryAfter and the waits ahead of it. a.mu is held.
-func (a *account) refuseBeyond(reply GrantReply, now time.Time, rate float64) {
+// refuseUnservable refuses the waiters that the account's rate cannot serve: those that, together with the
+// waiters ahead of them, need more tokens than the account may use, and those whose turn would come too
+// late. The turn of each waiter comes after the home's RetryAfter plus the time in which the rate yields
+// the tokens of the waiters ahead of it. a.mu must be held.
+func (a *account) refuseUnservable(reply GrantReply, now time.Time, rate float64) {
 	ahead := int64(0)
 	kept := a.waiters[:0]
 	for _, w := range a.waiters {
 		wait := reply.RetryAfter + time.Duration(float64(ahead)/rate*float64(time.Second))
-		w.over = wait
-		if ahead+w.tokens > reply.Usable+a.tokens || now.Add(wait).After(w.latest()) {
+		w.retryAfter = wait
+		if ahead+w.tokens > reply.Usable+a.balance || now.Add(wait).After(w.admitBy()) {
 			w.done <- w.refusal()
 			continue
 		}
@@ -254,45 +271,47 @@
 	a.waiters = kept
 }
 
-// latest is when the waiter's tokens have to be there: early enough for the request to run before its deadline.
-func (w *waiter) latest() time.Time {
-	latest := w.since.Add(maxWait)
+// admitBy returns the latest time at which the waiter may be admitted: after maxWait at most, and early
+// enough for the request to run before its deadline.
+func (w *waiter) admitBy() time.Time {
+	latest := w.enqueuedAt.Add(maxWait)
 	if w.deadline.IsZero() {
 		return latest
 	}
-	if before := w.since.Add(time.Duration(waitShare * float64(w.deadline.Sub(w.since)))); before.Before(latest) {
+	if before := w.enqueuedAt.Add(time.Duration(maxWaitFraction * float64(w.deadline.Sub(w.enqueuedAt)))); before.Before(latest) {
 		return before
 	}
 	return latest
 }
 
-// refuse ends the waits for that many tokens or more. a.mu is held.
-func (a *account) refuse(tokens int64, retryAfter time.Duration) {
+// refuseAtLeast refuses the waiters that need the given number of tokens or more. a.mu must be held.
+func (a *account) refuseAtLeast(tokens int64, retryAfter time.Duration) {
 	for i := len(a.waiters) - 1; i >= 0; i-- {
 		if w := a.waiters[i]; w.tokens >= tokens {
-			w.over = retryAfter
-			a.answer(i, w.refusal())
+			w.retryAfter = retryAfter
+			a.finishWaiter(i, w.refusal())
 		}
 	}
 }
 
-// unanswered ends the waits that have lasted too long without a home. It returns like ask.
-func (a *account) unanswered(now time.Time) (time.Duration, bool) {
+// handleFailedCall refuses the waiters that have waited for maxWait, after a call to the home that gave no
+// usable reply. Its results are those of requestTokens.
+func (a *account) handleFailedCall(now time.Time) (time.Duration, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for len(a.waiters) > 0 && now.Sub(a.waiters[0].since) >= maxWait {
-		a.waiters[0].over = 0
-		a.answer(0, a.waiters[0].refusal())
+	for len(a.waiters) > 0 && now.Sub(a.waiters[0].enqueuedAt) >= maxWait {
+		a.waiters[0].retryAfter = 0
+		a.finishWaiter(0, a.waiters[0].refusal())
 	}
 	if len(a.waiters) == 0 {
 		a.fetching = false
 		return 0, false
 	}
-	return retryPause, true
+	return retryInterval, true
 }
 
-// putRefund keeps unused tokens until the next request to the home.
-func (a *account) putRefund(tokens int64, admitted time.Time) {
+// addRefund stores unused tokens until the next request to the home.
+func (a *account) addRefund(tokens int64, admitted time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.refunds) >= maxRefunds {
@@ -303,35 +322,38 @@
 		}
 		return
 	}
-	a.refunds = append(a.refunds, refundable{tokens: tokens, admitted: admitted})
+	a.refunds = append(a.refunds, pendingRefund{tokens: tokens, admitted: admitted})
 }
 
-// maxRefunds bounds the refunds in one request; further ones are merged.
+// maxRefunds is the maximum number of refunds in one request. Further ones are merged into the last.
 const maxRefunds = 32
 
-// keepStamp remembers a reply's stamp. a.mu is held.
-func (a *account) keepStamp(value time.Duration, now time.Time) {
-	if n := len(a.stamps); n > 0 && now.Sub(a.stamps[n-1].at) < stampInterval {
+// recordStamp stores the stamp of a reply, unless the last one stored is less than stampInterval old. a.mu
+// must be held.
+func (a *account) recordStamp(value time.Duration, now time.Time) {
+	if n := len(a.stamps); n > 0 && now.Sub(a.stamps[n-1].receivedAt) < stampInterval {
 		return
 	}
 	if len(a.stamps) == maxStamps {
 		a.stamps = slices.Delete(a.stamps, 0, 1)
 	}
-	a.stamps = append(a.stamps, stamp{value: value, at: now})
+	a.stamps = append(a.stamps, stamp{value: value, receivedAt: now})
 }
 
 const (
-	// stampInterval is the least time between two stamps kept.
+	// stampInterval is the minimum time between two stored stamps.
 	stampInterval = 250 * time.Millisecond
-	maxStamps     = int(MaxRefundAge / stampInterval)
+	// maxStamps is enough to reach back over MaxRefundAge.
+	maxStamps = int(MaxRefundAge / stampInterval)
 )
 
-// takeRefunds returns the refunds for requests that were admitted after a stamp of the present home.
-// A request that gets lost loses them. a.mu is held.
-func (a *account) takeRefunds() []Refund {
+// drainRefunds removes all pending refunds and returns those for requests that were admitted after a stamp
+// of the present home. Refunds are not sent again: if the request to the home is lost, so are they. a.mu
+// must be held.
+func (a *account) drainRefunds() []Refund {
 	var refunds []Refund
 	for _, r := range a.refunds {
-		before := sort.Search(len(a.stamps), func(i int) bool { return a.stamps[i].at.After(r.admitted) })
+		before := sort.Search(len(a.stamps), func(i int) bool { return a.stamps[i].receivedAt.After(r.admitted) })
 		if before > 0 {
 			refunds = append(refunds, Refund{Tokens: r.tokens, Since: a.stamps[before-1].value})
 		}
@@ -340,28 +362,30 @@
 	return refunds
 }
 
-// armGiveBack reports whether the caller is to set the timer that gives tokens back.
+// armGiveBack reports whether the caller must start the timer that gives tokens back. It returns false if
+// the timer is running or there is nothing to give back or to report.
 func (a *account) armGiveBack() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.armed || a.tokens == 0 && !a.untold() {
+	if a.giveBackArmed || a.balance == 0 && !a.hasUnreported() {
 		return false
 	}
-	a.armed = true
+	a.giveBackArmed = true
 	return true
 }
 
-// untold reports whether the home does not know of tokens spent or not used. a.mu is held.
-func (a *account) untold() bool { return a.told != a.tokens || len(a.refunds) > 0 }
+// hasUnreported reports whether there are spent tokens or refunds of which the home has not been notified.
+// a.mu must be held.
+func (a *account) hasUnreported() bool { return a.homeBalance != a.balance || len(a.refunds) > 0 }
 
-// disarmGiveBack ends the timer. It reports whether the caller is to ask the home, which it is not
-// while the fetch loop runs or tokens are in demand.
+// disarmGiveBack records that the timer has fired. It reports whether the caller must send a request to the
+// home, which is not the case while the fetch loop runs or tokens are in demand.
 func (a *account) disarmGiveBack(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.armed = false
+	a.giveBackArmed = false
 	a.expire(now)
-	if a.fetching || now.Sub(a.demand.at) < idleReturn {
+	if a.fetching || now.Sub(a.demand.updatedAt) < idleReturnDelay {
 		return false
 	}
 	a.fetching = true
--- a/pkg/quota/account_test.go
+++ b/pkg/quota/account_test.go
@@ -9,9 +9,9 @@
 	"github.com/mallowlink/mallowlink/pkg/result"
 )
 
-// TestHopelessWaitsAreRefusedAtOnce has requests wait for tokens at the home's word. Those that the
-// rate cannot serve, or not in time, are refused by the same reply.
-func TestHopelessWaitsAreRefusedAtOnce(t *testing.T) {
+// Requests that the account's rate cannot serve, or not in time, must not wait in vain: the first reply of the
+// home that tells the VM to wait refuses them.
+func TestUnservableWaitersAreRefusedImmediately(t *testing.T) {
 	const rate = 10.0
 	now := time.Unix(100, 0)
 	reply := GrantReply{RetryAfter: time.Second, Wait: true, Usable: 25}
@@ -33,9 +33,9 @@
 			a := &account{name: "a"}
 			var waiters []*waiter
 			for _, deadline := range c.deadlines {
-				waiters = append(waiters, a.enter(10, now, now.Add(deadline)))
+				waiters = append(waiters, a.spendOrEnqueue(10, now, now.Add(deadline)))
 			}
-			pause, more := a.settle(GrantRequest{Need: 10}, reply, now, rate)
+			pause, more := a.applyReply(GrantRequest{Need: 10}, reply, now, rate)
 			require.True(t, more)
 			require.Positive(t, pause)
 			for i, w := range waiters {
@@ -53,26 +53,26 @@
 	}
 }
 
-// Tokens that come shortly before a request's deadline are of no use to it: it would be sent to an endpoint and
-// cut there.
-func TestTokensThatComeTooLateAdmitNobody(t *testing.T) {
-	begun := time.Unix(100, 0)
+// Tokens that arrive shortly before a request's deadline must not be spent on it: the request would be sent
+// to an endpoint and be cut off there at its deadline.
+func TestTokensCloseToDeadlineAdmitNoWaiter(t *testing.T) {
+	start := time.Unix(100, 0)
 	for after, admitted := range map[time.Duration]bool{3900 * time.Millisecond: true, 4900 * time.Millisecond: false} {
 		a := &account{name: "a"}
-		w := a.enter(10, begun, begun.Add(5*time.Second))
-		w.over = time.Second
-		a.tokens, a.granted = 10, begun.Add(after)
-		a.serve(begun.Add(after))
+		w := a.spendOrEnqueue(10, start, start.Add(5*time.Second))
+		w.retryAfter = time.Second
+		a.balance, a.grantSentAt = 10, start.Add(after)
+		a.admitWaiters(start.Add(after))
 		err := <-w.done
 		if admitted {
 			require.NoError(t, err)
-			require.Zero(t, a.tokens)
+			require.Zero(t, a.balance)
 			continue
 		}
 		var refusal *result.Error
 		require.ErrorAs(t, err, &refusal)
 		require.Equal(t, result.OverRate, refusal.Code)
 		require.Equal(t, result.NotRun, refusal.Outcome)
-		require.EqualValues(t, 10, a.tokens, "they are there for others")
+		require.EqualValues(t, 10, a.balance, "the refused request must leave the tokens to others")
 	}
 }
--- a/pkg/quota/demand.go
+++ b/pkg/quota/demand.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// demandHalfLife is the time in which past demand loses half its weight.
+// demandHalfLife is the time after which past demand counts half as much.
 const demandHalfLife = 500 * time.Millisecond
 
-// demand estimates the tokens a second that are asked for.
+// demand estimates how many tokens per second requests ask for, as an exponentially decaying average.
 type demand struct {
-	weight float64
-	at     time.Time
+	// weight is the sum of the tokens asked for, each decayed by its age at updatedAt.
+	weight    float64
+	updatedAt time.Time
 }
 
 func (d *demand) add(tokens int64, now time.Time) {
@@ -20,13 +21,13 @@
 }
 
 func (d *demand) decay(now time.Time) {
-	if !d.at.IsZero() {
-		d.weight *= math.Exp2(-now.Sub(d.at).Seconds() / demandHalfLife.Seconds())
+	if !d.updatedAt.IsZero() {
+		d.weight *= math.Exp2(-now.Sub(d.updatedAt).Seconds() / demandHalfLife.Seconds())
 	}
-	d.at = now
+	d.updatedAt = now
 }
 
-// rate returns the estimate at now.
+// rate returns the estimated demand at the time now, in tokens per second.
 func (d *demand) rate(now time.Time) float64 {
 	d.decay(now)
 	return d.weight * math.Ln2 / demandHalfLife.Seconds()
--- a/pkg/quota/home.go
+++ b/pkg/quota/home.go
@@ -19,66 +19,74 @@
 // ServiceName is the name under which the daemon registers Service with net/rpc.
 const ServiceName = "Quota"
 
+// Method names of Service in net/rpc.
 const (
 	grantMethod = ServiceName + ".Grant"
 	heldMethod  = ServiceName + ".Held"
 )
 
-// Times of grants.
+// Lifetime of grants and timeout of calls.
 const (
-	// grantLife is how long after its request was sent a VM may spend granted tokens.
-	grantLife = 2 * time.Second
-	// grantMargin is what the home waits on top, for clocks that drift apart.
-	grantMargin = 200 * time.Millisecond
-	// callTimeout bounds one call of a home or a VM.
+	// grantLifetime is how long a VM may spend granted tokens, counted from when it sent the request.
+	grantLifetime = 2 * time.Second
+	// clockDriftMargin is added to grantLifetime when the home waits for grants to expire, because the clocks
+	// of the VMs may run at different speeds.
+	clockDriftMargin = 200 * time.Millisecond
+	// callTimeout is the timeout of one call, from a VM to a home or from a home to a VM.
 	callTimeout = 500 * time.Millisecond
 )
 
-// Limits returns a client account's limit from the bundle in force.
-type Limits func(account string) (Limit, bool)
+// LimitFunc returns the limit of a client account in the current configuration bundle, and false if the
+// account is not in it.
+type LimitFunc func(account string) (Limit, bool)
 
-// Fleet tells the VMs that may hold tokens.
-type Fleet interface {
+// MemberLister lists the VMs of the fleet, which may hold tokens.
+type MemberLister interface {
 	Members() []membership.Member
 }
 
-// Home holds the buckets of the client accounts whose leases this VM holds.
+// Home grants tokens of the client accounts whose leases this VM holds: for these, the VM is the account's
+// home and keeps its token bucket. It is safe for concurrent use.
 type Home struct {
-	ctx    context.Context
-	self   string
-	lessor lease.Lessor
-	fleet  Fleet
-	caller peer.Caller
-	limits Limits
-	log    logrus.FieldLogger
-	local  *Holder
+	ctx          context.Context
+	self         string
+	leases       lease.Lessor
+	members      MemberLister
+	caller       peer.Caller
+	limits       LimitFunc
+	log          logrus.FieldLogger
+	localLimiter *Holder
 
 	mu      sync.Mutex
 	buckets map[string]*homeBucket // by account, guarded by mu
-	// parting are the levels of buckets just given up, until Level has passed them on.
-	parting map[string]float64
+	// releasedLevels are the levels of buckets whose leases were just lost, by lease name, until State has
+	// passed them on. They are guarded by mu.
+	releasedLevels map[string]float64
 }
 
+// homeBucket is the token bucket of one client account.
 type homeBucket struct {
 	*tokenbucket.Bucket
+	// fencing is the fencing token of the lease under which the bucket was started.
 	fencing uint64
 }
 
-// passedLevel is what a home passes on when it hands a client account over.
-type passedLevel struct {
+// handoverState is the state that a home passes to the next one when it hands over a client account's lease.
+type handoverState struct {
 	Level float64 `json:"level"`
 }
 
-// NewHome returns a home without buckets. The daemon passes on to it the lease events of client
-// accounts. ctx ends its calls.
-func NewHome(ctx context.Context, self string, lessor lease.Lessor, fleet Fleet, caller peer.Caller, limits Limits, log logrus.FieldLogger) *Home {
+// NewHome returns a Home without buckets. The caller must pass lease events to its LeaseGained and LeaseLost,
+// and create the limiter of the same VM, which registers itself. Calls to other VMs stop when ctx is done.
+func NewHome(ctx context.Context, self string, leases lease.Lessor, members MemberLister, caller peer.Caller, limits LimitFunc, log logrus.FieldLogger) *Home {
 	return &Home{
-		ctx: ctx, self: self, lessor: lessor, fleet: fleet, caller: caller, limits: limits, log: log,
-		buckets: map[string]*homeBucket{}, parting: map[string]float64{},
+		ctx: ctx, self: self, leases: leases, members: members, caller: caller, limits: limits, log: log,
+		buckets: map[string]*homeBucket{}, releasedLevels: map[string]float64{},
 	}
 }
 
-// LeaseGained starts the bucket of an account/ lease, and ignores other leases.
+// LeaseGained starts the bucket of the client account if the lease is an account/ lease, and ignores other
+// leases. It asks every VM how many tokens it still holds from the previous home.
 func (h *Home) LeaseGained(grant lease.Grant) {
 	account, ok := strings.CutPrefix(grant.Name, lease.AccountPrefix)
 	if !ok {
@@ -87,32 +95,32 @@
 	limit, _ := h.limits(account)
 	now := time.Now()
 	level := 0.0
-	var passed passedLevel
-	if grant.State != nil && json.Unmarshal(grant.State, &passed) == nil && passed.Level >= 0 {
-		level = passed.Level
+	var handover handoverState
+	if grant.State != nil && json.Unmarshal(grant.State, &handover) == nil && handover.Level >= 0 {
+		level = handover.Level
 	}
-	members := h.others()
+	members := h.otherVMs()
 	vms := []string{h.self}
 	for _, m := range members {
 		vms = append(vms, m.ID)
 	}
 	h.mu.Lock()
 	h.buckets[account] = &homeBucket{
-		Bucket:  tokenbucket.New(limit.bucket(), level, vms, now, now.Add(grantLife+grantMargin)),
+		Bucket:  tokenbucket.New(limit.bucketLimit(), level, vms, now, now.Add(grantLifetime+clockDriftMargin)),
 		fencing: grant.Fencing,
 	}
 	h.mu.Unlock()
 	request := HeldRequest{Account: account, Fencing: grant.Fencing}
-	h.takeReport(request, h.self, h.local.revoke(request), now)
+	h.recordHeld(request, h.self, h.localLimiter.fence(request), now)
 	for _, m := range members {
-		go h.askHeld(request, m)
+		go h.queryHeld(request, m)
 	}
 }
 
-// others returns the VMs that may hold tokens, but for this one.
-func (h *Home) others() []membership.Member {
+// otherVMs returns the VMs that may hold tokens, except this one.
+func (h *Home) otherVMs() []membership.Member {
 	var others []membership.Member
-	for _, m := range h.fleet.Members() {
+	for _, m := range h.members.Members() {
 		if m.ID != h.self && !m.Gone {
 			others = append(others, m)
 		}
@@ -120,37 +128,42 @@
 	return others
 }
 
-// askHeld asks one VM what it holds until it has answered or the answer no longer matters.
-func (h *Home) askHeld(request HeldRequest, m membership.Member) {
-	begun := time.Now()
-	for time.Since(begun) < grantLife+grantMargin {
+// queryHeld asks one VM for its balance. It retries until the VM has responded, or until any grant of an
+// earlier home has expired and the response no longer matters.
+func (h *Home) queryHeld(request HeldRequest, m membership.Member) {
+	start := time.Now()
+	for time.Since(start) < grantLifetime+clockDriftMargin {
 		ctx, cancel := context.WithTimeout(h.ctx, callTimeout)
 		var reply HeldReply
 		err := h.caller.Call(ctx, m.PeerAddress, heldMethod, &request, &reply)
 		cancel()
 		if err == nil {
-			h.takeReport(request, m.ID, reply, time.Now())
+			h.recordHeld(request, m.ID, reply, time.Now())
 			return
 		}
 		if h.ctx.Err() != nil {
 			return
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryInterval)
 	}
 }
 
-const retryPause = 50 * time.Millisecond
+// retryInterval is the delay after a failed call to a VM or a home.
+const retryInterval = 50 * time.Millisecond
 
-func (h *Home) takeReport(request HeldRequest, vm string, report HeldReply, now time.Time) {
+// recordHeld records the balance that a VM has reported, if this VM still has the bucket for which it was
+// requested.
+func (h *Home) recordHeld(request HeldRequest, vm string, report HeldReply, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	b := h.buckets[request.Account]
 	if b != nil && b.fencing == request.Fencing && !outOfRange(report.Held) {
-		b.Reported(vm, report.Incarnation, report.Held, now, now.Add(grantLife+grantMargin))
+		b.Reported(vm, report.Incarnation, report.Held, now, now.Add(grantLifetime+clockDriftMargin))
 	}
 }
 
-// LeaseLost drops the bucket of an account/ lease, and ignores other leases.
+// LeaseLost discards the bucket of an account/ lease, and ignores other leases. The level of the bucket is
+// kept for State if the balance of every VM is known.
 func (h *Home) LeaseLost(name string) {
 	account, ok := strings.CutPrefix(name, lease.AccountPrefix)
 	if !ok {
@@ -164,27 +177,28 @@
 	}
 	delete(h.buckets, account)
 	if b.Settled() {
-		h.parting[name] = math.Floor(b.Level())
+		h.releasedLevels[name] = math.Floor(b.Level())
 	}
 }
 
-// State returns what to pass on with a lease that is handed over: the level of its bucket.
+// State returns the state to pass on with a lease that is handed over, which is the level of its bucket, or
+// nil if there is none.
 func (h *Home) State(name string) []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	level, ok := h.parting[name]
-	delete(h.parting, name)
+	level, ok := h.releasedLevels[name]
+	delete(h.releasedLevels, name)
 	if !ok {
 		return nil
 	}
-	data, err := json.Marshal(passedLevel{Level: level})
+	data, err := json.Marshal(handoverState{Level: level})
 	if err != nil {
 		return nil
 	}
 	return data
 }
 
-// Grant answers a VM's request for tokens.
+// Grant handles a VM's request for tokens.
 func (h *Home) Grant(req GrantRequest) GrantReply {
 	limit, known := h.limits(req.Account)
 	if req.malformed() {
@@ -197,27 +211,28 @@
 		return GrantReply{Seq: req.Seq, NotHome: true}
 	}
 	now := time.Now()
-	b.SetLimit(limit.bucket(), now)
+	b.SetLimit(limit.bucketLimit(), now)
 	if req.Fencing != b.fencing {
 		req.Refunds = nil
 	}
-	answer, ok := b.Grant(req.bucket(), now, now.Add(grantLife+grantMargin))
-	// The lease is checked last: its end is what a later home's start waits for.
-	held, still := h.lessor.Held(lease.AccountPrefix + req.Account)
-	if !ok || !still || held.Fencing != b.fencing {
+	granted, ok := b.Grant(req.bucketRequest(), now, now.Add(grantLifetime+clockDriftMargin))
+	// The lease must be checked after the tokens are granted: the next home starts only once the lease has
+	// ended.
+	held, stillHeld := h.leases.Held(lease.AccountPrefix + req.Account)
+	if !ok || !stillHeld || held.Fencing != b.fencing {
 		return GrantReply{Seq: req.Seq, NotHome: true}
 	}
 	return GrantReply{
-		Seq: req.Seq, Fencing: b.fencing, Tokens: answer.Tokens, Stamp: answer.Stamp,
-		RetryAfter: answer.RetryAfter, Wait: answer.Wait, Usable: answer.Usable,
+		Seq: req.Seq, Fencing: b.fencing, Tokens: granted.Tokens, Stamp: granted.Stamp,
+		RetryAfter: granted.RetryAfter, Wait: granted.Wait, Usable: granted.Usable,
 	}
 }
 
-func (l Limit) bucket() tokenbucket.Limit {
+func (l Limit) bucketLimit() tokenbucket.Limit {
 	return tokenbucket.Limit{Rate: l.Rate, Burst: l.Burst}
 }
 
-func (r GrantRequest) bucket() tokenbucket.Request {
+func (r GrantRequest) bucketRequest() tokenbucket.Request {
 	req := tokenbucket.Request{
 		VM: r.VM, Incarnation: r.Incarnation, Seq: r.Seq, Accepted: r.Accepted,
 		Want: r.Want, Need: r.Need, Held: r.Held, Returned: r.Returned,
@@ -228,7 +243,7 @@
 	return req
 }
 
-// malformed reports whether the request holds numbers that no VM sends.
+// malformed reports whether the request contains numbers that no VM sends.
 func (r GrantRequest) malformed() bool {
 	for _, refund := range r.Refunds {
 		if refund.Tokens < 0 || refund.Tokens > maxTokens || refund.Since < 0 {
@@ -238,28 +253,28 @@
 	return outOfRange(r.Want) || outOfRange(r.Need) || outOfRange(r.Returned) || outOfRange(r.Held)
 }
 
-// maxTokens bounds the token counts in messages, so that sums cannot overflow.
+// maxTokens is the largest token count accepted in a message. It keeps sums from overflowing.
 const maxTokens = int64(1) << 48
 
 func outOfRange(n int64) bool { return n < 0 || n > maxTokens }
 
-// Service takes other VMs' calls by net/rpc.
+// Service handles the net/rpc calls of other VMs.
 type Service struct {
-	home   *Home
-	holder *Holder
+	home    *Home
+	limiter *Holder
 }
 
 // NewService returns the service to register with net/rpc under ServiceName.
-func NewService(home *Home, holder *Holder) *Service { return &Service{home: home, holder: holder} }
+func NewService(home *Home, limiter *Holder) *Service { return &Service{home: home, limiter: limiter} }
 
-// Grant answers a VM's request for tokens.
+// Grant handles a VM's request for tokens.
 func (s *Service) Grant(args *GrantRequest, reply *GrantReply) error {
 	*reply = s.home.Grant(*args)
 	return nil
 }
 
-// Held answers a new home.
+// Held handles a new home's request for the balance of this VM.
 func (s *Service) Held(args *HeldRequest, reply *HeldReply) error {
-	*reply = s.holder.revoke(*args)
+	*reply = s.limiter.fence(*args)
 	return nil
 }
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -15,6 +15,8 @@
 
 var limit = quota.Limit{Rate: 100, Burst: 500}
 
+// An account that has been idle may spend its burst, and from then on only its rate. Refusals must say when
+// tokens are available again.
 func TestBurstThenRate(t *testing.T) {
 	runFleet(t, 1, 7, limit, func(f *fleet) {
 		time.Sleep(10 * time.Second)
@@ -26,14 +28,16 @@
 		}
 		require.InDelta(f.t, limit.Burst, admitted, 50)
 		err := f.admit(f.VMs()[0], 100)
-		require.Equal(f.t, result.OverRate, code(err))
+		require.Equal(f.t, result.OverRate, refusalCode(err))
 		require.InDelta(f.t, time.Second, err.(*result.Error).RetryAfter, float64(500*time.Millisecond))
 		time.Sleep(err.(*result.Error).RetryAfter)
 		require.NoError(f.t, f.admit(f.VMs()[0], 100))
-		require.Equal(f.t, result.OverBurst, code(f.admit(f.VMs()[0], 501)))
+		require.Equal(f.t, result.OverBurst, refusalCode(f.admit(f.VMs()[0], 501)))
 	})
 }
 
+// An account that stays within its rate must not be refused, although its requests arrive at different VMs and
+// the tokens have to move between them.
 func TestNoRefusalWithinRate(t *testing.T) {
 	runFleet(t, 2, 7, limit, func(f *fleet) {
 		time.Sleep(10 * time.Second)
@@ -44,16 +48,17 @@
 	})
 }
 
+// A crash of an account's home must not cause refusals at the other VMs: requests wait for the new home.
 func TestHomeCrash(t *testing.T) {
-	for name, end := range map[string]func(*fleettest.Fleet, *fleettest.VM){
+	for name, crash := range map[string]func(*fleettest.Fleet, *fleettest.VM){
 		"process killed": (*fleettest.Fleet).Kill,
 		"VM vanished":    (*fleettest.Fleet).Vanish,
 	} {
 		t.Run(name, func(t *testing.T) {
 			runFleet(t, 3, 7, limit, func(f *fleet) {
 				time.Sleep(10 * time.Second)
-				home := f.home(0)
-				end(f.Fleet, home)
+				home := f.waitHome(0)
+				crash(f.Fleet, home)
 				start := time.Now()
 				for i := range 200 {
 					v := f.VMs()[i%7]
@@ -69,14 +74,16 @@
 	}
 }
 
-func TestUnusedTokensComeBack(t *testing.T) {
+// Tokens that requests give back must be available again: the requests ask for five times the account's rate,
+// but use less than it.
+func TestUnusedTokensCanBeSpentAgain(t *testing.T) {
 	runFleet(t, 4, 3, quota.Limit{Rate: 100, Burst: 1500}, func(f *fleet) {
 		time.Sleep(10 * time.Second)
 		for i := range 600 {
 			v := f.VMs()[i%3]
 			require.NoError(f.t, f.admit(v, 50))
 			admitted := time.Now()
-			time.AfterFunc(500*time.Millisecond, func() { f.holder(v).ReturnSince(account, 41, admitted) })
+			time.AfterFunc(500*time.Millisecond, func() { f.limiter(v).ReturnSince(account, 41, admitted) })
 			time.Sleep(100 * time.Millisecond)
 		}
 	})
