--- a/pkg/budget/budget_test.go
+++ b/pkg/budget/budget_test.go
@@ -24,48 +24,49 @@
 	loadTime  = 250 * time.Millisecond
 )
 
-// fleet is a fleet whose VMs load adapters as fast as the budget lets them.
-type fleet struct {
+// loadingFleet is a fleet whose VMs start adapter loads as fast as the budget permits.
+type loadingFleet struct {
 	*fleettest.Fleet
 	limit budget.Limit
 	t     *testing.T
 
-	// long makes some loads last almost as long as they may.
-	long bool
-	// took, if set, is how long every load lasts.
-	took time.Duration
-	// only is the VM that may load, all if empty.
-	only string
-
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	running int
-	most    int
-	starts  []time.Time
+	// longLoads makes about one load in eight last almost as long as budget.DefaultLoadLimit.
+	longLoads bool
+	// loadDuration is the shortest duration of a load; values below loadTime have no effect.
+	loadDuration time.Duration
+	// onlyVM is the ID of the only VM that may start loads; if empty, all VMs may.
+	onlyVM string
+
+	mu         sync.Mutex
+	rng        *rand.Rand
+	running    int
+	maxRunning int
+	starts     []time.Time
 }
 
-func (f *fleet) limits() (budget.Limit, bool) { return f.limit, true }
+func (f *loadingFleet) limits() (budget.Limit, bool) { return f.limit, true }
 
-func (f *fleet) attach(v *fleettest.VM) fleettest.Attachment {
+func (f *loadingFleet) attach(v *fleettest.VM) fleettest.Attachment {
 	cfg := budget.Config{ID: v.ID, Incarnation: v.Incarnation}
-	arrived := make(chan struct{}, 1)
+	permitsReady := make(chan struct{}, 1)
 	home := budget.NewHome(v.Ctx, cfg, v.Manager, v.Registry, v.Caller, f.limits)
 	holder := budget.NewHolder(v.Ctx, cfg, home, v.Manager, v.Caller, func() {
 		select {
-		case arrived <- struct{}{}:
+		case permitsReady <- struct{}{}:
 		default:
 		}
 	})
 	go holder.Run(v.Ctx)
-	go f.work(v, holder, arrived)
+	go f.runLoads(v, holder, permitsReady)
 	return fleettest.Attachment{
 		Listener: home,
 		Services: map[string]any{budget.ServiceName: budget.NewService(home, holder)},
 	}
 }
 
-// work starts a load whenever there is a permit. Loads end even if their VM has died.
-func (f *fleet) work(v *fleettest.VM, holder *budget.Holder, arrived chan struct{}) {
+// runLoads starts a load whenever a permit is available. Loads run to their end even if their VM has
+// crashed, as they do on an engine.
+func (f *loadingFleet) runLoads(v *fleettest.VM, holder *budget.Holder, permitsReady chan struct{}) {
 	for v.Ctx.Err() == nil {
 		v.Gate.Pass()
 		for f.mayLoad(v) && holder.TryTake(time.Now()) {
@@ -73,36 +74,36 @@
 		}
 		select {
 		case <-v.Ctx.Done():
-		case <-arrived:
+		case <-permitsReady:
 		case <-time.After(loadTime):
 		}
 	}
 }
 
-// loadOnlyAt keeps all VMs but one from loading; all may load if id is empty.
-func (f *fleet) loadOnlyAt(id string) {
+// loadOnlyAt lets only the VM with the given ID start loads; if id is empty, all VMs may.
+func (f *loadingFleet) loadOnlyAt(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.only = id
+	f.onlyVM = id
 }
 
-func (f *fleet) mayLoad(v *fleettest.VM) bool {
+func (f *loadingFleet) mayLoad(v *fleettest.VM) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.only == "" || f.only == v.ID
+	return f.onlyVM == "" || f.onlyVM == v.ID
 }
 
-func (f *fleet) load(holder *budget.Holder) {
+func (f *loadingFleet) load(holder *budget.Holder) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.running++
-	f.most = max(f.most, f.running)
+	f.maxRunning = max(f.maxRunning, f.running)
 	f.starts = append(f.starts, time.Now())
-	took := max(f.took, loadTime)
-	if f.long && f.rnd.Intn(8) == 0 {
-		took = budget.DefaultLoadLimit - time.Millisecond
+	duration := max(f.loadDuration, loadTime)
+	if f.longLoads && f.rng.Intn(8) == 0 {
+		duration = budget.DefaultLoadLimit - time.Millisecond
 	}
-	time.AfterFunc(took, func() {
+	time.AfterFunc(duration, func() {
 		f.mu.Lock()
 		f.running--
 		f.mu.Unlock()
@@ -110,11 +111,11 @@
 	})
 }
 
-func run(t *testing.T, seed int64, limit budget.Limit, body func(*fleet)) {
+func runFleet(t *testing.T, seed int64, limit budget.Limit, body func(*loadingFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{Fleet: fleettest.NewFleet(t.Context(), seed, []string{lease.Budget}), limit: limit, t: t}
-		f.rnd = rand.New(rand.NewSource(seed))
+		f := &loadingFleet{Fleet: fleettest.NewFleet(t.Context(), seed, []string{lease.Budget}), limit: limit, t: t}
+		f.rng = rand.New(rand.NewSource(seed))
 		f.Attach = f.attach
 		defer f.Stop()
 		f.StartAll(fleetSize)
@@ -124,11 +125,12 @@
 	})
 }
 
-// check holds the loads against the limit: those at once, and those started in every interval.
-func (f *fleet) check(t *testing.T) {
+// check verifies that the number of concurrent loads and the number of loads started in every interval
+// stayed within the limit.
+func (f *loadingFleet) check(t *testing.T) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	require.LessOrEqual(t, f.most, f.limit.AtOnce)
+	require.LessOrEqual(t, f.maxRunning, f.limit.AtOnce)
 	for i, from := range f.starts {
 		for j, to := range f.starts[i:] {
 			bound := float64(f.limit.AtOnce) + f.limit.PerSecond*to.Sub(from).Seconds()
@@ -139,8 +141,8 @@
 	}
 }
 
-// since counts the loads started after a time.
-func (f *fleet) since(from time.Time) int {
+// loadsStartedAfter returns the number of loads started after from.
+func (f *loadingFleet) loadsStartedAfter(from time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -153,32 +155,33 @@
 }
 
 func TestBudgetIsUsedInFull(t *testing.T) {
-	run(t, 1, budget.Limit{PerSecond: 5, AtOnce: 2}, func(f *fleet) {
+	runFleet(t, 1, budget.Limit{PerSecond: 5, AtOnce: 2}, func(f *loadingFleet) {
 		time.Sleep(10 * time.Second)
 		from := time.Now()
 		time.Sleep(60 * time.Second)
-		require.Greater(t, f.since(from), 5*60*9/10)
+		require.Greater(t, f.loadsStartedAfter(from), 5*60*9/10)
 	})
 }
 
-func TestBudgetHomeCrash(t *testing.T) {
-	run(t, 2, budget.Limit{PerSecond: 6, AtOnce: 3}, func(f *fleet) {
+func TestGrantsResumeAfterHomeCrash(t *testing.T) {
+	runFleet(t, 2, budget.Limit{PerSecond: 6, AtOnce: 3}, func(f *loadingFleet) {
 		time.Sleep(20 * time.Second)
 		f.Kill(f.WaitHolder(lease.Budget, 0))
 		time.Sleep(20 * time.Second)
 		from := time.Now()
 		time.Sleep(10 * time.Second)
-		require.Greater(t, f.since(from), 6*10*8/10)
+		require.Greater(t, f.loadsStartedAfter(from), 6*10*8/10)
 	})
 }
 
-// TestLoadsOfAnEarlierProcessCount has a VM die with loads running, come back, and tell a new home
-// that it uses nothing.
-func TestLoadsOfAnEarlierProcessCount(t *testing.T) {
+// TestLoadsOfEarlierIncarnationCount guards against a new home that overlooks the loads of a VM's earlier
+// incarnation: the VM crashes with loads running and restarts, the lease moves to another VM, and the
+// restarted VM reports to the new home that it uses no permits.
+func TestLoadsOfEarlierIncarnationCount(t *testing.T) {
 	for seed := range int64(2) {
-		run(t, seed+1, budget.Limit{PerSecond: 20, AtOnce: 2}, func(f *fleet) {
+		runFleet(t, seed+1, budget.Limit{PerSecond: 20, AtOnce: 2}, func(f *loadingFleet) {
 			f.mu.Lock()
-			f.took = budget.DefaultLoadLimit - time.Millisecond
+			f.loadDuration = budget.DefaultLoadLimit - time.Millisecond
 			f.mu.Unlock()
 			time.Sleep(30 * time.Second)
 			home := f.WaitHolder(lease.Budget, 0)
@@ -210,9 +213,9 @@
 		seed := *firstSeed + int64(i)
 		ok := t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			limit := budget.Limit{PerSecond: 2 + float64(seed%7), AtOnce: 1 + int(seed%4)}
-			run(t, seed, limit, func(f *fleet) {
+			runFleet(t, seed, limit, func(f *loadingFleet) {
 				f.mu.Lock()
-				f.long = true
+				f.longLoads = true
 				f.mu.Unlock()
 				fleettest.NewChaos(f.Fleet, seed).Run(faultsPerSchedule)
 			})
@@ -224,12 +227,12 @@
 	t.Logf("%d schedules from seed %d", *schedules, *firstSeed)
 }
 
-// TestFirstHomeGrantsAtOnce starts a fleet whose budget nobody has held before: there are no earlier
-// loads to wait for.
-func TestFirstHomeGrantsAtOnce(t *testing.T) {
-	run(t, 1, budget.Limit{PerSecond: 5, AtOnce: 2}, func(f *fleet) {
+// TestFirstHomeGrantsWithoutDelay guards against a start delay in a new fleet: the budget has never had a
+// home, so there are no earlier loads to wait for.
+func TestFirstHomeGrantsWithoutDelay(t *testing.T) {
+	runFleet(t, 1, budget.Limit{PerSecond: 5, AtOnce: 2}, func(f *loadingFleet) {
 		from := time.Now()
 		time.Sleep(2 * time.Second)
-		require.Positive(t, f.since(from))
+		require.Positive(t, f.loadsStartedAfter(from))
 	})
 }
--- a/pkg/budget/holder.go
+++ b/pkg/budget/holder.go
@@ -10,46 +10,50 @@
 	"github.com/mallowlink/mallowlink/pkg/peer"
 )
 
-// Holder is a VM's side of the budget. It implements scheduler.LoadPermits: permits are asked for
-// once TryTake has found none, and the owner is told when one has come.
+// Holder holds the permits of one VM. It implements scheduler.LoadPermits: when TryTake finds no permit, the
+// Holder requests one from the home, and calls back when it has arrived. It is safe for concurrent use.
 type Holder struct {
-	ctx    context.Context
-	cfg    Config
-	home   *Home
-	lessor lease.Lessor
-	caller peer.Caller
-	arrive func()
-	kick   chan struct{}
-	begun  time.Time
+	ctx       context.Context
+	cfg       Config
+	home      *Home
+	lessor    lease.Lessor
+	caller    peer.Caller
+	onPermits func()
+	wake      chan struct{}
+	startedAt time.Time
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 
+	// idle is the number of unused permits.
 	idle int64
-	// granted is when the last request whose permits were taken was sent.
-	granted time.Time
+	// lastGrantSent is when the last request whose reply was accepted was sent. All idle permits expire
+	// permitLifetime after it.
+	lastGrantSent time.Time
+	// running is the number of loads that run on permits.
 	running int64
-	// told is what the home believes that idle and running are.
-	toldIdle, toldRunning int64
-	wanted                int64
-	wantedAt              time.Time
-	seq, accepted         uint64
-	fencing               uint64
+	// reportedIdle and reportedRunning are the values of idle and running that the home has recorded.
+	reportedIdle, reportedRunning int64
+	wanted                        int64
+	wantedAt                      time.Time
+	seq, acceptedSeq              uint64
+	fencing                       uint64
 }
 
-// NewHolder returns a holder without permits, and makes it known to this VM's home. arrive is called,
-// without locks, when permits have come after TryTake had found none.
-func NewHolder(ctx context.Context, cfg Config, home *Home, lessor lease.Lessor, caller peer.Caller, arrive func()) *Holder {
+// NewHolder returns a Holder without permits and registers it with this VM's home. onPermits is called,
+// without locks held, when permits have arrived after TryTake had found none.
+func NewHolder(ctx context.Context, cfg Config, home *Home, lessor lease.Lessor, caller peer.Caller, onPermits func()) *Holder {
 	cfg.setDefaults()
 	h := &Holder{
-		ctx: ctx, cfg: cfg, home: home, lessor: lessor, caller: caller, arrive: arrive,
-		kick: make(chan struct{}, 1), begun: time.Now(),
+		ctx: ctx, cfg: cfg, home: home, lessor: lessor, caller: caller, onPermits: onPermits,
+		wake: make(chan struct{}, 1), startedAt: time.Now(),
 	}
 	home.local = h
 	return h
 }
 
-// TryTake takes the permit for one load if there is one, and asks for one otherwise.
+// TryTake takes a permit for one load and returns true if there is one. Otherwise it requests one from the
+// home and returns false.
 func (h *Holder) TryTake(time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -66,7 +70,7 @@
 	return false
 }
 
-// Release ends the load of one permit.
+// Release reports that a load that ran on a permit has ended.
 func (h *Holder) Release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -74,51 +78,53 @@
 	h.signal()
 }
 
-// signal wakes the loop.
+// signal wakes the loop of Run.
 func (h *Holder) signal() {
 	select {
-	case h.kick <- struct{}{}:
+	case h.wake <- struct{}{}:
 	default:
 	}
 }
 
-// expire drops permits whose time is over. h.mu is held.
+// expire discards the idle permits if they have expired. h.mu is held.
 func (h *Holder) expire(now time.Time) {
-	if age := clock.Elapsed(h.granted, now); age >= permitLife {
+	if age := clock.Elapsed(h.lastGrantSent, now); age >= permitLifetime {
 		h.idle = 0
 	}
 }
 
-// revoke takes in that the budget has a new home and returns what this VM uses.
+// revoke records that the budget has a new home and returns this VM's usage. Grants of earlier homes are
+// refused from then on.
 func (h *Holder) revoke(req UsageRequest) UsageReply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.expire(time.Now())
 	h.fencing = max(h.fencing, req.Fencing)
-	return UsageReply{Incarnation: h.cfg.Incarnation, Idle: h.idle, Running: h.running, Young: h.young()}
+	return UsageReply{Incarnation: h.cfg.Incarnation, Idle: h.idle, Running: h.running, Young: h.earlierLoadsMayRun()}
 }
 
-// young reports whether loads of an earlier process on this VM may still run.
-func (h *Holder) young() bool { return time.Since(h.begun) < h.cfg.permitBound() }
+// earlierLoadsMayRun reports whether loads of an earlier incarnation of this VM may still run.
+func (h *Holder) earlierLoadsMayRun() bool { return time.Since(h.startedAt) < h.cfg.permitBound() }
 
-// Run asks for permits and reports their use until ctx ends.
+// Run requests permits and reports their use until ctx ends.
 func (h *Holder) Run(ctx context.Context) {
-	pause := reportInterval
+	delay := reportInterval
 	for {
-		timer := time.NewTimer(pause)
+		timer := time.NewTimer(delay)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
-		case <-h.kick:
+		case <-h.wake:
 			timer.Stop()
 		case <-timer.C:
 		}
-		pause = h.step()
+		delay = h.step()
 	}
 }
 
-// step makes one call to the home if there is reason to, and returns the time to the next.
+// step calls the home if there is something to request or to report, and returns the delay before the next
+// step.
 func (h *Holder) step() time.Duration {
 	sent := clock.Now()
 	req, ok := h.request(sent)
@@ -127,10 +133,10 @@
 	}
 	reply, err := h.call(req)
 	if err != nil || reply.NotHome {
-		return retryPause
+		return retryDelay
 	}
 	if h.accept(req, reply, sent) {
-		h.arrive()
+		h.onPermits()
 	}
 	if reply.RetryAfter > 0 {
 		return min(reply.RetryAfter, reportInterval)
@@ -138,30 +144,31 @@
 	return reportInterval
 }
 
-// request builds the next request. It reports false if there is nothing to ask for or to report.
+// request builds the next request. It returns false if there is nothing to request or to report.
 func (h *Holder) request(now time.Time) (TakeRequest, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.expire(now)
-	if now.Sub(h.wantedAt) > wantLife {
+	if now.Sub(h.wantedAt) > wantLifetime {
 		h.wanted = 0
 	}
-	req := TakeRequest{VM: h.cfg.ID, Incarnation: h.cfg.Incarnation, Accepted: h.accepted}
+	req := TakeRequest{VM: h.cfg.ID, Incarnation: h.cfg.Incarnation, Accepted: h.acceptedSeq}
 	req.Want = min(max(h.wanted-h.idle, 0), maxPermits)
 	if h.wanted == 0 {
 		req.Returned, h.idle = h.idle, 0
 	}
-	untold := h.toldIdle != h.idle || h.toldRunning != h.running
-	if req.Want == 0 && h.running == 0 && !untold {
+	unreported := h.reportedIdle != h.idle || h.reportedRunning != h.running
+	if req.Want == 0 && h.running == 0 && !unreported {
 		return req, false
 	}
 	h.seq++
-	req.Young = h.young()
+	req.Young = h.earlierLoadsMayRun()
 	req.Seq, req.Idle, req.Running = h.seq, h.idle, h.running
 	return req, true
 }
 
-// accept takes the permits of a reply, and reports whether there are any.
+// accept adds the permits of a reply and reports whether there were any. It ignores replies that are out of
+// order, late or out of range, and those of an earlier home.
 func (h *Holder) accept(req TakeRequest, reply TakeReply, sent time.Time) bool {
 	now := time.Now()
 	h.mu.Lock()
@@ -171,10 +178,10 @@
 	}
 	h.expire(now)
 	h.fencing = reply.Fencing
-	h.accepted = reply.Seq
+	h.acceptedSeq = reply.Seq
 	h.idle += reply.Permits
-	h.granted = sent
-	h.toldIdle, h.toldRunning = req.Idle+reply.Permits, req.Running
+	h.lastGrantSent = sent
+	h.reportedIdle, h.reportedRunning = req.Idle+reply.Permits, req.Running
 	if reply.Permits == 0 {
 		return false
 	}
@@ -182,7 +189,7 @@
 	return true
 }
 
-// call asks the budget's home, which may be this VM.
+// call sends the request to the budget's home, which may be this VM.
 func (h *Holder) call(req TakeRequest) (TakeReply, error) {
 	holder, ok := h.lessor.HolderOf(lease.Budget)
 	if !ok {
@@ -198,7 +205,7 @@
 	return reply, err
 }
 
-// Service takes other VMs' calls by net/rpc.
+// Service handles the net/rpc calls of other VMs.
 type Service struct {
 	home   *Home
 	holder *Holder
@@ -207,13 +214,13 @@
 // NewService returns the service to register with net/rpc under ServiceName.
 func NewService(home *Home, holder *Holder) *Service { return &Service{home: home, holder: holder} }
 
-// Take answers a VM's report and request.
+// Take handles a VM's report and its request for permits.
 func (s *Service) Take(args *TakeRequest, reply *TakeReply) error {
 	*reply = s.home.Take(*args)
 	return nil
 }
 
-// Usage answers a new home.
+// Usage handles a new home's query for the permits that this VM uses.
 func (s *Service) Usage(args *UsageRequest, reply *UsageReply) error {
 	*reply = s.holder.revoke(*args)
 	return nil
--- a/pkg/budget/home.go
+++ b/pkg/budget/home.go
@@ -11,24 +11,25 @@
 	"github.com/mallowlink/mallowlink/pkg/tokenbucket"
 )
 
-// Limits returns the fleet-wide budget of the bundle in force.
+// Limits returns the fleet-wide limit of the bundle in force, and false if none is known.
 type Limits func() (Limit, bool)
 
-// Fleet tells the VMs that may hold permits.
+// Fleet lists the VMs that may hold permits.
 type Fleet interface {
 	Members() []membership.Member
 }
 
-// Config describes this VM.
+// Config configures the Home and the Holder of this VM.
 type Config struct {
+	// ID identifies this VM, Incarnation the run of its process.
 	ID          string
 	Incarnation string
-	// LoadLimit bounds the time that one load may take at its endpoint: permits of a VM that has
-	// crashed come back after it.
+	// LoadLimit bounds the time that one load may take at its endpoint. Permits of a VM that has
+	// crashed are granted again only after it. The default is DefaultLoadLimit.
 	LoadLimit time.Duration
 }
 
-// DefaultLoadLimit is the usual bound of one load.
+// DefaultLoadLimit is the default of Config.LoadLimit.
 const DefaultLoadLimit = 5 * time.Second
 
 func (c *Config) setDefaults() {
@@ -37,7 +38,8 @@
 	}
 }
 
-// Home grants permits while this VM holds the lease on the budget.
+// Home grants permits to all VMs while this VM holds the lease on the budget. It is safe for concurrent
+// use.
 type Home struct {
 	ctx    context.Context
 	cfg    Config
@@ -45,23 +47,26 @@
 	fleet  Fleet
 	caller peer.Caller
 	limits Limits
-	local  *Holder
+	// local is the Holder of this VM, set by NewHolder.
+	local *Holder
 
 	mu sync.Mutex
-	// fencing is the number of the lease held, 0 if none. bucket and slots are set while it is not 0.
-	// All are guarded by mu.
+	// fencing is the fencing number of the lease held, 0 if none is held. bucket and slots are set while
+	// it is not 0. All three are guarded by mu.
 	fencing uint64
 	bucket  *tokenbucket.Bucket
 	slots   *slots
 }
 
-// NewHome returns a home that holds no lease. ctx ends its calls.
+// NewHome returns a Home that holds no lease. Its calls to other VMs end with ctx.
 func NewHome(ctx context.Context, cfg Config, lessor lease.Lessor, fleet Fleet, caller peer.Caller, limits Limits) *Home {
 	cfg.setDefaults()
 	return &Home{ctx: ctx, cfg: cfg, lessor: lessor, fleet: fleet, caller: caller, limits: limits}
 }
 
-// LeaseGained starts the budget if the grant is for it, and ignores other leases.
+// LeaseGained starts to grant permits if the lease is the one on the budget. Other leases are ignored.
+// Unless the budget has never had a home, nothing is granted until the usage of every VM that may hold
+// permits is known or has expired.
 func (h *Home) LeaseGained(grant lease.Grant) {
 	if grant.Name != lease.Budget {
 		return
@@ -83,18 +88,18 @@
 	}
 	h.mu.Lock()
 	h.fencing = grant.Fencing
-	h.bucket = tokenbucket.New(limit.rate(), 0, vms, now, now.Add(permitLife+permitMargin))
-	h.slots = newSlots(int64(limit.AtOnce), vms, h.expires(now))
+	h.bucket = tokenbucket.New(limit.rate(), 0, vms, now, now.Add(permitLifetime+permitMargin))
+	h.slots = newSlots(int64(limit.AtOnce), vms, h.expiry(now))
 	h.mu.Unlock()
 	request := UsageRequest{Fencing: grant.Fencing}
-	h.takeReport(request, h.cfg.ID, h.local.revoke(request))
+	h.applyUsage(request, h.cfg.ID, h.local.revoke(request))
 	for _, m := range others {
-		go h.askUsage(request, m)
+		go h.queryUsage(request, m)
 	}
 }
 
-// startFirst starts a budget that nobody has granted from before: all of it is there, and no VM has to
-// be asked.
+// startFirst starts a budget from which nothing has been granted before: all of it is available, and no
+// VM has to be queried.
 func (h *Home) startFirst(grant lease.Grant, limit Limit, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -103,51 +108,54 @@
 	h.slots = newSlots(int64(limit.AtOnce), nil, now)
 }
 
-// rate returns the bucket that bounds the loads started: as many at once as may run at once.
+// rate returns the limit of the token bucket that bounds the loads started. The burst equals the number
+// of loads that may run at the same time, and is at least 1.
 func (l Limit) rate() tokenbucket.Limit {
 	return tokenbucket.Limit{Rate: l.PerSecond, Burst: float64(max(l.AtOnce, 1))}
 }
 
-// expires returns when permits granted or reported at now have expired and their loads have ended.
-func (h *Home) expires(now time.Time) time.Time {
+// expiry returns the time by which permits granted or reported at now have expired and their loads have
+// ended.
+func (h *Home) expiry(now time.Time) time.Time {
 	return now.Add(h.cfg.permitBound())
 }
 
-// permitBound is the time from a grant to the end of the load that may use it.
-func (c Config) permitBound() time.Duration { return permitLife + permitMargin + c.LoadLimit }
+// permitBound returns the longest time from the grant of a permit to the end of the load that uses it.
+func (c Config) permitBound() time.Duration { return permitLifetime + permitMargin + c.LoadLimit }
 
-// askUsage asks one VM what it uses until it has answered or the answer no longer matters. A VM that
-// is gone does not answer: its loads may still run, which the time limit allows for.
-func (h *Home) askUsage(request UsageRequest, m membership.Member) {
-	begun := time.Now()
-	for time.Since(begun) < h.cfg.permitBound() {
+// queryUsage asks one VM for its usage until the VM has responded or its permits have expired. A crashed VM
+// does not respond, although its loads may still run; permitBound covers these.
+func (h *Home) queryUsage(request UsageRequest, m membership.Member) {
+	start := time.Now()
+	for time.Since(start) < h.cfg.permitBound() {
 		ctx, cancel := context.WithTimeout(h.ctx, callTimeout)
 		var reply UsageReply
 		err := h.caller.Call(ctx, m.PeerAddress, usageMethod, &request, &reply)
 		cancel()
 		if err == nil {
-			h.takeReport(request, m.ID, reply)
+			h.applyUsage(request, m.ID, reply)
 			return
 		}
 		if h.ctx.Err() != nil {
 			return
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryDelay)
 	}
 }
 
-func (h *Home) takeReport(request UsageRequest, vm string, reply UsageReply) {
+// applyUsage records the usage that a VM has reported, unless the lease has changed since the request.
+func (h *Home) applyUsage(request UsageRequest, vm string, reply UsageReply) {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.fencing != request.Fencing || outOfRange(reply.Idle) || outOfRange(reply.Running) {
 		return
 	}
-	h.bucket.Reported(vm, reply.Incarnation, reply.Idle, now, now.Add(permitLife+permitMargin))
-	h.slots.reported(vm, reply, h.expires(now))
+	h.bucket.Reported(vm, reply.Incarnation, reply.Idle, now, now.Add(permitLifetime+permitMargin))
+	h.slots.applyUsage(vm, reply, h.expiry(now))
 }
 
-// LeaseLost ends the budget if the lease is on it, and ignores other leases.
+// LeaseLost stops granting permits if the lease is the one on the budget. Other leases are ignored.
 func (h *Home) LeaseLost(name string) {
 	if name != lease.Budget {
 		return
@@ -157,7 +165,7 @@
 	h.fencing = 0
 }
 
-// Take answers a VM's report and request.
+// Take applies a VM's report and grants the permits that it asks for, as far as the limit allows.
 func (h *Home) Take(req TakeRequest) TakeReply {
 	limit, known := h.limits()
 	refused := TakeReply{Seq: req.Seq, NotHome: true}
@@ -172,8 +180,9 @@
 	now := time.Now()
 	h.bucket.SetLimit(limit.rate(), now)
 	h.slots.limit = int64(limit.AtOnce)
-	reply, ok := h.take(req, now)
-	// The lease is checked last: its end is what a later home's start waits for.
+	reply, ok := h.grantPermits(req, now)
+	// The lease is checked last, after the permits have been granted: a later home starts only after
+	// this lease has ended.
 	held, still := h.lessor.Held(lease.Budget)
 	if !ok || !still || held.Fencing != h.fencing {
 		return refused
@@ -181,42 +190,44 @@
 	return reply
 }
 
-// take settles the report and grants permits. h.mu is held.
-func (h *Home) take(req TakeRequest, now time.Time) (TakeReply, bool) {
+// grantPermits applies the report in req and grants permits. It returns false if the request is out of
+// order. h.mu is held.
+func (h *Home) grantPermits(req TakeRequest, now time.Time) (TakeReply, bool) {
 	h.slots.advance(now)
-	if !h.slots.settle(req, h.expires(now)) {
+	if !h.slots.applyReport(req, h.expiry(now)) {
 		return TakeReply{}, false
 	}
 	want := min(req.Want, h.slots.free())
-	answer, ok := h.bucket.Grant(tokenbucket.Request{
+	granted, ok := h.bucket.Grant(tokenbucket.Request{
 		VM: req.VM, Incarnation: req.Incarnation, Seq: req.Seq, Accepted: req.Accepted,
 		Want: want, Need: min(want, 1), Held: req.Idle, Returned: req.Returned,
-	}, now, now.Add(permitLife+permitMargin))
+	}, now, now.Add(permitLifetime+permitMargin))
 	if !ok {
 		return TakeReply{}, false
 	}
-	h.slots.take(req, answer.Tokens)
-	reply := TakeReply{Seq: req.Seq, Fencing: h.fencing, Permits: answer.Tokens}
-	if answer.Tokens == 0 && req.Want > 0 {
-		reply.RetryAfter = max(answer.RetryAfter, slotRetry)
+	h.slots.addGranted(req, granted.Tokens)
+	reply := TakeReply{Seq: req.Seq, Fencing: h.fencing, Permits: granted.Tokens}
+	if granted.Tokens == 0 && req.Want > 0 {
+		reply.RetryAfter = max(granted.RetryAfter, slotRetryInterval)
 	}
 	return reply, true
 }
 
-// slotRetry is when a VM asks again while no slot is free.
-const slotRetry = 20 * time.Millisecond
+// slotRetryInterval is the shortest delay before a VM that was granted no permit asks again.
+const slotRetryInterval = 20 * time.Millisecond
 
-// maxPermits bounds the counts in messages.
+// maxPermits bounds the counts of permits and loads in messages.
 const maxPermits = 1 << 20
 
 func outOfRange(n int64) bool { return n < 0 || n > maxPermits }
 
-// malformed reports whether the request holds numbers that no VM sends.
+// malformed reports whether a count in the request is out of range.
 func (r TakeRequest) malformed() bool {
 	return outOfRange(r.Want) || outOfRange(r.Idle) || outOfRange(r.Returned) || outOfRange(r.Running)
 }
 
-// State is the budget's state for the state dump.
+// State is the state of the budget at its home, as written to the state dump. Level is the level of the
+// token bucket, Free the number of free slots, and Unknown the number of VMs whose usage is unknown.
 type State struct {
 	Fencing uint64  `json:"fencing"`
 	Level   float64 `json:"level"`
--- a/pkg/budget/slots.go
+++ b/pkg/budget/slots.go
@@ -2,25 +2,29 @@
 
 import "time"
 
-// slots counts the loads that may run at once. It is pure.
+// slots counts the loads that may run at the same time. It reads no clock and is not safe for concurrent
+// use.
 //
-// Invariant: the permits that VMs hold or run loads on are never more than limit, as long as every
-// load ends within its VM's bound.
+// Invariant: the permits that VMs hold or run loads on never exceed limit, as long as every load ends
+// within the time limit of its VM.
 type slots struct {
 	limit int64
-	used  map[string]usage
-	// unknown are the VMs that may use all slots, until unknownUntil.
+	// used holds the usage of each incarnation of a VM, under the key that key returns.
+	used map[string]usage
+	// unknown holds the VMs whose usage is unknown. Until unknownUntil each of them may use all slots, so
+	// that no slot is free.
 	unknown      map[string]bool
 	unknownUntil time.Time
 }
 
-// usage is what one process uses.
+// usage is the number of slots that one incarnation of a VM uses.
 type usage struct {
+	// seq is the sequence number of the last request applied, 0 if there was none.
 	seq   uint64
 	slots int64
 	// granted is the part of slots that the last grant added.
 	granted int64
-	// expires is when its permits have surely expired and its loads have surely ended.
+	// expires is the time by which the permits are certain to have expired and the loads to have ended.
 	expires time.Time
 }
 
@@ -34,7 +38,7 @@
 
 func key(vm, incarnation string) string { return vm + "/" + incarnation }
 
-// advance forgets what has expired.
+// advance discards usages that have expired, and the unknown VMs once unknownUntil has passed.
 func (s *slots) advance(now time.Time) {
 	if !now.Before(s.unknownUntil) {
 		clear(s.unknown)
@@ -46,8 +50,8 @@
 	}
 }
 
-// reported takes in what a VM uses of earlier homes' permits.
-func (s *slots) reported(vm string, reply UsageReply, expires time.Time) {
+// applyUsage records the usage that a VM reports to a new home: permits granted by earlier homes.
+func (s *slots) applyUsage(vm string, reply UsageReply, expires time.Time) {
 	if !s.unknown[vm] {
 		return
 	}
@@ -60,7 +64,7 @@
 	}
 }
 
-// free returns the slots that nobody uses.
+// free returns the number of unused slots. It is 0 while the usage of any VM is unknown.
 func (s *slots) free() int64 {
 	if len(s.unknown) > 0 {
 		return 0
@@ -72,9 +76,9 @@
 	return max(free, 0)
 }
 
-// settle replaces what is known of a process by what its request says. It reports false for a
-// request that is older than another of the process.
-func (s *slots) settle(req TakeRequest, expires time.Time) bool {
+// applyReport replaces the recorded usage of an incarnation by the one in its request. It returns false if
+// the request is not newer than the last one applied.
+func (s *slots) applyReport(req TakeRequest, expires time.Time) bool {
 	k := key(req.VM, req.Incarnation)
 	if old, ok := s.used[k]; ok && req.Seq <= old.seq {
 		return false
@@ -86,8 +90,8 @@
 	return true
 }
 
-// take adds granted permits to what the process uses.
-func (s *slots) take(req TakeRequest, permits int64) {
+// addGranted adds granted permits to the usage of the incarnation that sent the request.
+func (s *slots) addGranted(req TakeRequest, permits int64) {
 	k := key(req.VM, req.Incarnation)
 	u := s.used[k]
 	u.slots += permits
