--- a/pkg/ledger/ledger.go
+++ b/pkg/ledger/ledger.go
@@ -14,7 +14,7 @@
 	"github.com/mallowlink/mallowlink/pkg/result"
 )
 
-// Names of the counters.
+// Names of the metrics counters.
 const (
 	MetricWrites     = "ledger.writes"
 	MetricReads      = "ledger.reads"
@@ -28,29 +28,30 @@
 )
 
 const (
-	// storeTimeout bounds one call of the table before the dispatch: a caller of a non-idempotent
-	// route is refused at once when the store is down.
+	// storeTimeout bounds one call of the table service. A request on a non-idempotent route is refused
+	// after it, before the dispatch, when the table service does not respond.
 	storeTimeout = 500 * time.Millisecond
-	// recordWait is how long an answer waits for its record before it is delivered all the same.
+	// recordWait is how long a response is held back for its record to be written. It is then delivered
+	// even if the write has not finished.
 	recordWait = 100 * time.Millisecond
-	// completeFor bounds the time over which the writing of an answer's record is tried again.
-	completeFor = 15 * time.Minute
-	// completePause is the first pause between these tries; it doubles up to completePauseMax.
-	completePause    = 50 * time.Millisecond
-	completePauseMax = 5 * time.Second
-	// proofWindow is the age of a record up to which its owner is asked for proof: well below
+	// writeRetryTimeout bounds the time over which a failed write of a response is retried.
+	writeRetryTimeout = 15 * time.Minute
+	// writeRetryDelay is the delay before the first retry; it doubles up to maxWriteRetryDelay.
+	writeRetryDelay    = 50 * time.Millisecond
+	maxWriteRetryDelay = 5 * time.Second
+	// proofWindow is the age of a record up to which its owner is asked for proof. It is well below
 	// work.RetainEnded, so that the clocks of two VMs may differ by minutes.
 	proofWindow = 2 * time.Minute
-	// unknownReads bounds the reads that find out what became of a write whose reply was lost.
-	unknownReads = 3
-	// unresolvedRetryAfter is when a caller is told to ask again for an unknown end.
+	// maxReadBacks bounds the reads that determine whether a write whose reply was lost was applied.
+	maxReadBacks = 3
+	// unresolvedRetryAfter is the retry delay sent to a caller whose request has an unknown outcome.
 	unresolvedRetryAfter = time.Second
-	// downRetryAfter is when a caller is told to come back while the store is down.
-	downRetryAfter = 2 * time.Second
+	// storeDownRetryAfter is the retry delay sent to a caller while the table service does not respond.
+	storeDownRetryAfter = 2 * time.Second
 )
 
-// Prover asks the named owner to prove that an attempt has not run and never will. It reports false
-// if the owner cannot be asked or cannot prove it.
+// Prover asks an owner to prove that an attempt has not run and never will. ProveNotRun returns false
+// if the owner cannot be reached or cannot prove it.
 type Prover interface {
 	ProveNotRun(ctx context.Context, holder Holder) bool
 }
@@ -65,10 +66,10 @@
 	resolved, storeDown, late, swept   metrics.Counter
 	failed                             metrics.Counter
 
-	pending sync.WaitGroup // completions and releases under way
+	pending sync.WaitGroup // completions and releases in progress
 }
 
-// New returns a Ledger.
+// New returns a Ledger that keeps its records in table and registers its counters with registry.
 func New(table platform.Table, prover Prover, registry metrics.Registry, log logrus.FieldLogger) *Ledger {
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter(name, registry) }
 	return &Ledger{
@@ -87,94 +88,97 @@
 	}
 }
 
-// Handle is the right to dispatch the attempt that a record names, and to write its end.
+// Handle is the right to dispatch the attempt that a record names, and to record its outcome. It is not
+// safe for concurrent use.
 type Handle struct {
 	key     string
 	version uint64
 	record  record
-	// unknown is the transaction whose reply was lost last.
-	unknown string
+	// unknownAttempt identifies the last transaction whose reply was lost.
+	unknownAttempt string
 }
 
-// tried reports whether an earlier try of the transaction may have been applied.
-func (h *Handle) tried(attempt string) bool { return h.unknown == attempt }
+// mayBeApplied reports whether an earlier try of the transaction may have been applied.
+func (h *Handle) mayBeApplied(attempt string) bool { return h.unknownAttempt == attempt }
 
 // Holder returns the attempt and owner that the record names.
 func (h *Handle) Holder() Holder { return h.record.Holder }
 
-// Begin writes the record of a new request, before its dispatch. If there is a record already, it
-// returns the recorded answer, or fails: with key-reused if it is of another body, with unresolved
-// while the end is not known. It fails with store-down, outcome not-run, if the table does not answer.
+// Begin writes the record of a new request, before its dispatch. If a record exists already, Begin returns
+// the recorded response, or fails: with key-reused if the record is of a request with another body, with
+// unresolved while the outcome is unknown. It fails with store-down, outcome not-run, if the table service
+// does not respond.
 func (l *Ledger) Begin(ctx context.Context, key Key, bodyHash string, holder Holder) (*Handle, *Answer, error) {
-	h := &Handle{key: key.row(), record: record{Holder: holder, BodyHash: bodyHash, Written: time.Now().UTC()}}
+	h := &Handle{key: key.rowKey(), record: record{Holder: holder, BodyHash: bodyHash, Written: time.Now().UTC()}}
 	err := l.write(ctx, h, 0, uuid.NewString())
 	if err == nil {
 		return h, nil, nil
 	}
 	if !errors.Is(err, platform.ErrConflict) {
-		return nil, nil, l.down(err)
+		return nil, nil, l.storeDownError(err)
 	}
-	return l.repeat(ctx, h)
+	return l.handleRepeat(ctx, h)
 }
 
-// repeat handles a request whose record exists. h holds the record that it would have written.
-func (l *Ledger) repeat(ctx context.Context, h *Handle) (*Handle, *Answer, error) {
+// handleRepeat handles a request whose record exists. h holds the record that the request would have
+// written.
+func (l *Ledger) handleRepeat(ctx context.Context, h *Handle) (*Handle, *Answer, error) {
 	row, err := l.get(ctx, h.key)
 	if errors.Is(err, platform.ErrNotFound) {
-		return nil, nil, l.unknownEnd("the record has just been released; send again")
+		return nil, nil, l.unresolvedError("the record has just been released; send again")
 	}
 	if err != nil {
-		return nil, nil, l.down(err)
+		return nil, nil, l.storeDownError(err)
 	}
 	found, err := decode(row.Value)
 	if err != nil {
-		return nil, nil, l.unknownEnd("the record cannot be read")
+		return nil, nil, l.unresolvedError("the record cannot be read")
 	}
 	if found.BodyHash != h.record.BodyHash {
 		return nil, nil, result.New(result.KeyReused, "this Idempotency-Key was used for another request")
 	}
-	if found.Answer != nil {
+	if found.Response != nil {
 		l.replays.Inc(1)
-		return nil, found.Answer, nil
+		return nil, found.Response, nil
 	}
 	return l.takeOver(ctx, h, row, found)
 }
 
-// takeOver replaces the record of a request that is proven not to have run.
+// takeOver replaces the record of an earlier request if its owner proves that it has not run.
 func (l *Ledger) takeOver(ctx context.Context, h *Handle, row platform.Row, found record) (*Handle, *Answer, error) {
 	age := time.Since(found.Written).Abs()
 	if age > proofWindow || !l.prover.ProveNotRun(ctx, found.Holder) {
-		return nil, nil, l.unknownEnd("an earlier request with this Idempotency-Key has no known end yet")
+		return nil, nil, l.unresolvedError("an earlier request with this Idempotency-Key has no known end yet")
 	}
 	if err := l.write(ctx, h, row.Version, uuid.NewString()); err != nil {
-		return nil, nil, l.unknownEnd("the record was changed by another request")
+		return nil, nil, l.unresolvedError("the record was changed by another request")
 	}
 	l.resolved.Inc(1)
 	return h, nil, nil
 }
 
 // Rebind names another attempt or owner in the record, before the dispatch to it. It fails with
-// unresolved if another request has taken the record over, and with store-down, in which case the
-// attempt must not be dispatched; Rebind may then be called again.
+// unresolved if another request has taken over the record, and with store-down if the table service does
+// not respond. After store-down the attempt must not be dispatched, but Rebind may be called again.
 func (l *Ledger) Rebind(ctx context.Context, h *Handle, holder Holder) error {
-	former := h.record.Holder
+	previous := h.record.Holder
 	h.record.Holder = holder
 	err := l.write(ctx, h, h.version, uuid.NewString())
 	if err == nil {
 		return nil
 	}
-	h.record.Holder = former
+	h.record.Holder = previous
 	if errors.Is(err, platform.ErrConflict) {
-		return l.unknownEnd("another request with this Idempotency-Key took the record over")
+		return l.unresolvedError("another request with this Idempotency-Key took the record over")
 	}
-	return l.down(err)
+	return l.storeDownError(err)
 }
 
-// Complete records the answer. It waits for the write for a short time only; then it goes on in the
-// background, and a repeat on another VM is told in the meantime that the end is not known.
+// Complete records the response. It waits for the write up to recordWait; the write then continues in the
+// background, and until it is done a repeat on another VM fails with unresolved.
 func (l *Ledger) Complete(ctx context.Context, h *Handle, answer Answer) error {
-	kept := answer.bounded()
-	h.record.Answer = &kept
+	kept := answer.withoutLargeBody()
+	h.record.Response = &kept
 	version, attempt := h.version, uuid.NewString()
 	return l.persist(ctx, h, "record_complete_failed", func(ctx context.Context) error {
 		return l.write(ctx, h, version, attempt)
@@ -194,7 +198,7 @@
 	})
 }
 
-// Flush waits until every record that has been begun to be written is written.
+// Flush waits until the writes in progress have finished or ctx ends.
 func (l *Ledger) Flush(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
@@ -209,15 +213,15 @@
 	}
 }
 
-// persist tries the write until it is done, and waits for it up to recordWait.
+// persist retries the write until it has succeeded or failed for good, and waits for that up to recordWait.
 func (l *Ledger) persist(ctx context.Context, h *Handle, event string, write func(context.Context) error) error {
-	ended := make(chan error, 1)
+	outcome := make(chan error, 1)
 	detached := context.WithoutCancel(ctx)
-	l.pending.Go(func() { ended <- l.keepTrying(detached, h, event, write) })
+	l.pending.Go(func() { outcome <- l.retryWrite(detached, h, event, write) })
 	timer := time.NewTimer(recordWait)
 	defer timer.Stop()
 	select {
-	case err := <-ended:
+	case err := <-outcome:
 		return err
 	case <-timer.C:
 		l.late.Inc(1)
@@ -225,10 +229,11 @@
 	}
 }
 
-func (l *Ledger) keepTrying(ctx context.Context, h *Handle, event string, write func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, completeFor)
+// retryWrite repeats the write with growing delays. It gives up on a conflict, or after writeRetryTimeout.
+func (l *Ledger) retryWrite(ctx context.Context, h *Handle, event string, write func(context.Context) error) error {
+	ctx, cancel := context.WithTimeout(ctx, writeRetryTimeout)
 	defer cancel()
-	pause := completePause
+	delay := writeRetryDelay
 	for {
 		err := write(ctx)
 		if err == nil {
@@ -241,22 +246,24 @@
 			return err
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-ctx.Done():
 		}
-		pause = min(2*pause, completePauseMax)
+		delay = min(2*delay, maxWriteRetryDelay)
 	}
 }
 
-func (l *Ledger) down(err error) *result.Error {
+// storeDownError counts and logs a failed call of the table service and returns the error for the caller.
+func (l *Ledger) storeDownError(err error) *result.Error {
 	l.storeDown.Inc(1)
 	e := result.New(result.StoreDown, "the at-most-once record cannot be written")
-	e.RetryAfter = downRetryAfter
-	l.log.WithField("event", "record_store_down").WithError(err).Warn("table service does not answer")
+	e.RetryAfter = storeDownRetryAfter
+	l.log.WithField("event", "record_store_down").WithError(err).Warn("at-most-once record not accessible: table service does not respond")
 	return e
 }
 
-func (l *Ledger) unknownEnd(detail string) *result.Error {
+// unresolvedError counts a request with an unknown outcome and returns the error for the caller.
+func (l *Ledger) unresolvedError(detail string) *result.Error {
 	l.unresolved.Inc(1)
 	e := result.New(result.Unresolved, detail)
 	e.RetryAfter = unresolvedRetryAfter
--- a/pkg/ledger/ledger_test.go
+++ b/pkg/ledger/ledger_test.go
@@ -18,15 +18,15 @@
 	"github.com/mallowlink/mallowlink/pkg/work"
 )
 
-// prover answers every question the same.
-type prover bool
+// fixedProver gives the same result for every attempt.
+type fixedProver bool
 
-func (p prover) ProveNotRun(context.Context, Holder) bool { return bool(p) }
+func (p fixedProver) ProveNotRun(context.Context, Holder) bool { return bool(p) }
 
 func newLedger(table *ledgertest.Table, proves bool) *Ledger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return New(table, prover(proves), metrics.NewRegistry(), log)
+	return New(table, fixedProver(proves), metrics.NewRegistry(), log)
 }
 
 func holder(request string, attempt int) Holder {
@@ -35,29 +35,31 @@
 
 var testRecord = Key{Account: "a", Route: "issue", Name: "k"}
 
-func code(t *testing.T, err error) result.Code {
+func resultCode(t *testing.T, err error) result.Code {
 	t.Helper()
 	var e *result.Error
 	require.ErrorAs(t, err, &e)
 	return e.Code
 }
 
-// sequence returns the faults one after the other, and None after the last.
-func sequence(list ...ledgertest.Fault) func() ledgertest.Fault {
+// faultSequence returns a function that returns the faults one after the other, and None after the last.
+func faultSequence(faults ...ledgertest.Fault) func() ledgertest.Fault {
 	return func() ledgertest.Fault {
-		if len(list) == 0 {
+		if len(faults) == 0 {
 			return ledgertest.None
 		}
-		f := list[0]
-		list = list[1:]
+		f := faults[0]
+		faults = faults[1:]
 		return f
 	}
 }
 
+// TestLostRepliesAreReadBack guards against a second write, or a failure, when the table service applies a write and
+// its reply is lost: the row must be read back.
 func TestLostRepliesAreReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := ledgertest.New()
-		table.Fault = sequence(ledgertest.LoseReply, ledgertest.LoseReply, ledgertest.LoseReply)
+		table.Fault = faultSequence(ledgertest.LoseReply, ledgertest.LoseReply, ledgertest.LoseReply)
 		l := newLedger(table, false)
 		h, recorded, err := l.Begin(t.Context(), testRecord, "body", holder("r1", 1))
 		require.NoError(t, err)
@@ -71,17 +73,20 @@
 	})
 }
 
+// TestDelayedInsertIsResolvedByProof guards against a key that stays blocked by an insert that was applied only
+// after the request had been refused: a repeat may take over the record once its owner proves that the
+// earlier request has not run.
 func TestDelayedInsertIsResolvedByProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := ledgertest.New()
-		table.Fault = sequence(ledgertest.Delay)
+		table.Fault = faultSequence(ledgertest.Delay)
 		l := newLedger(table, true)
 		_, _, err := l.Begin(t.Context(), testRecord, "body", holder("r1", 1))
-		require.Equal(t, result.StoreDown, code(t, err))
+		require.Equal(t, result.StoreDown, resultCode(t, err))
 		time.Sleep(10 * time.Second)
-		require.Equal(t, 1, table.Writes(), "the write has arrived after its refusal")
+		require.Equal(t, 1, table.Writes(), "the delayed write must be applied after Begin has failed")
 		_, _, err = newLedger(table, false).Begin(t.Context(), testRecord, "body", holder("r2", 1))
-		require.Equal(t, result.Unresolved, code(t, err))
+		require.Equal(t, result.Unresolved, resultCode(t, err))
 		h, _, err := l.Begin(t.Context(), testRecord, "body", holder("r3", 1))
 		require.NoError(t, err)
 		require.Equal(t, "r3", h.Holder().Attempt.Request)
@@ -95,20 +100,24 @@
 		require.NoError(t, err)
 		time.Sleep(proofWindow + time.Second)
 		_, _, err = l.Begin(t.Context(), testRecord, "body", holder("r2", 1))
-		require.Equal(t, result.Unresolved, code(t, err))
+		require.Equal(t, result.Unresolved, resultCode(t, err))
 	})
 }
 
+// TestTakenOverRecordIsNotRebound guards against two requests that both hold the right to dispatch: after a
+// takeover, the earlier request can neither rebind nor release the record.
 func TestTakenOverRecordIsNotRebound(t *testing.T) {
 	l := newLedger(ledgertest.New(), true)
 	first, _, err := l.Begin(t.Context(), testRecord, "body", holder("r1", 1))
 	require.NoError(t, err)
 	_, _, err = l.Begin(t.Context(), testRecord, "body", holder("r2", 1))
 	require.NoError(t, err)
-	require.Equal(t, result.Unresolved, code(t, l.Rebind(t.Context(), first, holder("r1", 2))))
-	require.Error(t, l.Release(t.Context(), first), "the record belongs to another request now")
+	require.Equal(t, result.Unresolved, resultCode(t, l.Rebind(t.Context(), first, holder("r1", 2))))
+	require.Error(t, l.Release(t.Context(), first), "the record belongs to another request by now")
 }
 
+// TestCompletionOutlivesAnOutage guards against a lost record when the table service is down for 10 minutes after
+// the request has run.
 func TestCompletionOutlivesAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := ledgertest.New()
@@ -122,9 +131,9 @@
 			}
 			return ledgertest.Down
 		}
-		began := time.Now()
+		start := time.Now()
 		require.NoError(t, l.Complete(t.Context(), h, Answer{Status: 200}))
-		require.Equal(t, recordWait, time.Since(began), "the answer waits for a short time only")
+		require.Equal(t, recordWait, time.Since(start), "the response must be held back for recordWait only")
 		time.Sleep(10 * time.Minute)
 		up.Store(true)
 		require.NoError(t, l.Flush(t.Context()))
--- a/pkg/ledger/ledgertest/table.go
+++ b/pkg/ledger/ledgertest/table.go
@@ -1,4 +1,4 @@
-// Package ledgertest provides an in-memory platform.Table with faults for tests.
+// Package ledgertest provides an in-memory platform.Table with injected faults for tests.
 package ledgertest
 
 import (
@@ -11,31 +11,33 @@
 	"github.com/mallowlink/mallowlink/pkg/platform"
 )
 
-// Fault is what happens to one Commit.
+// Fault is the fault injected into one Commit.
 type Fault uint8
 
 // Faults.
 const (
-	// None applies the transaction and answers.
+	// None applies the transaction and returns its result.
 	None Fault = iota
-	// Down refuses it.
+	// Down refuses the transaction with platform.ErrUnavailable.
 	Down
-	// LoseRequest does not apply it and says that the outcome is unknown.
+	// LoseRequest does not apply the transaction and returns platform.ErrUnknown.
 	LoseRequest
-	// LoseReply applies it and says that the outcome is unknown.
+	// LoseReply applies the transaction and returns platform.ErrUnknown.
 	LoseReply
-	// Delay says that the outcome is unknown and applies it later, if its conditions hold then.
+	// Delay returns platform.ErrUnknown and applies the transaction after commitDelay, if its conditions
+	// hold then.
 	Delay
 )
 
-// lateBy is how much later a transaction with Delay is applied.
-const lateBy = 3 * time.Second
+// commitDelay is the time after which a transaction with the fault Delay is applied.
+const commitDelay = 3 * time.Second
 
-// Table is an in-memory platform.Table.
+// Table is an in-memory platform.Table with faults. Its methods are safe for concurrent use.
 type Table struct {
 	// Latency is the time that each call takes.
 	Latency time.Duration
-	// Fault decides what happens to a Commit; nil means None. ReadFault reports whether a read fails.
+	// Fault chooses the fault of a Commit; nil means None. ReadFault reports whether a read fails; nil
+	// means that none does.
 	Fault     func() Fault
 	ReadFault func() bool
 
@@ -128,7 +130,7 @@
 		t.apply(txn)
 		return 0, platform.ErrUnknown
 	case Delay:
-		time.AfterFunc(lateBy, func() { t.apply(txn) })
+		time.AfterFunc(commitDelay, func() { t.apply(txn) })
 		return 0, platform.ErrUnknown
 	}
 	return t.apply(txn)
--- a/pkg/ledger/record.go
+++ b/pkg/ledger/record.go
@@ -23,24 +23,25 @@
 const (
 	// Prefix precedes the keys of all records.
 	Prefix = "ledger/"
-	// MaxAnswerBytes bounds the answer kept with a record. A larger answer is recorded by status
-	// only, and a repeat is told that the request has run.
+	// MaxAnswerBytes bounds the response body kept with a record. Of a response with a larger body only
+	// the status and the header are recorded, and a repeat is told that the request has run.
 	MaxAnswerBytes = 64 << 10
-	// AnsweredLifetime is how long the record of an answered request is kept.
+	// AnsweredLifetime is how long the record of a request with a recorded response is kept.
 	AnsweredLifetime = 24 * time.Hour
-	// UnresolvedLifetime is how long the record of a request without a known end is kept.
+	// UnresolvedLifetime is how long the record of a request with an unknown outcome is kept.
 	UnresolvedLifetime = 7 * 24 * time.Hour
 )
 
-// Key names a record. It is never logged: the Idempotency-Key is the caller's.
+// Key identifies a record. It must not be logged: the Idempotency-Key (Name) is private to the caller.
 type Key struct {
 	Account string
 	Route   string
 	Name    string
 }
 
-// row returns the key of the table row: a shard for the sweeper, and a hash.
-func (k Key) row() string {
+// rowKey returns the key of the table row: Prefix, the shard by which the sweeper lists records, and a
+// hash.
+func (k Key) rowKey() string {
 	h := sha256.New()
 	for _, part := range []string{k.Account, k.Route, k.Name} {
 		sum := sha256.Sum256([]byte(part))
@@ -52,7 +53,7 @@
 
 func shardPrefix(shard string) string { return Prefix + shard + "/" }
 
-// Holder names the attempt that a record stands for, and the owner that it is dispatched to.
+// Holder names the attempt that a record stands for, and the owner to which it is dispatched.
 type Holder struct {
 	Attempt work.AttemptID `json:"attempt"`
 	Group   string         `json:"group"`
@@ -60,27 +61,27 @@
 	Owner string `json:"owner"`
 }
 
-// Answer is a recorded answer.
+// Answer is a recorded response.
 type Answer struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
-	// Dropped says that the body was too large to be kept.
+	// Dropped is true if the body was too large to be kept.
 	Dropped bool `json:"dropped,omitempty"`
 }
 
-// record is the value of a row.
+// record is the JSON value of a table row.
 type record struct {
 	Holder   Holder    `json:"holder"`
 	BodyHash string    `json:"body_hash"`
 	Written  time.Time `json:"written"`
-	// Answer is nil until the request is known to have been answered.
-	Answer *Answer `json:"answer,omitempty"`
+	// Response is nil until the request is known to have been answered.
+	Response *Answer `json:"answer,omitempty"`
 }
 
 func (r record) expired(now time.Time) bool {
 	lifetime := UnresolvedLifetime
-	if r.Answer != nil {
+	if r.Response != nil {
 		lifetime = AnsweredLifetime
 	}
 	return now.Sub(r.Written) > lifetime
@@ -102,8 +103,8 @@
 	return r, nil
 }
 
-// bounded returns the answer without its body if that is too large to be kept.
-func (a Answer) bounded() Answer {
+// withoutLargeBody returns the response, without its body if that is larger than MaxAnswerBytes.
+func (a Answer) withoutLargeBody() Answer {
 	if len(a.Body) > MaxAnswerBytes {
 		return Answer{Status: a.Status, Header: a.Header, Dropped: true}
 	}
--- a/pkg/ledger/store.go
+++ b/pkg/ledger/store.go
@@ -9,8 +9,8 @@
 	"github.com/mallowlink/mallowlink/pkg/platform"
 )
 
-// write writes h.record on the condition that the row is at version, and sets h.version. It fails
-// with platform.ErrConflict, or with an error after which nothing may be assumed.
+// write writes h.record on the condition that the row is at version, and sets h.version. It fails with
+// platform.ErrConflict, or with another error, after which the row may or may not have been written.
 func (l *Ledger) write(ctx context.Context, h *Handle, version uint64, attempt string) error {
 	value, err := h.record.encode()
 	if err != nil {
@@ -23,8 +23,8 @@
 	}, h)
 }
 
-// commit applies a transaction on one row, and sets h.version. When the reply is lost, and on a
-// conflict that may be with an earlier try of the same transaction, it reads the row back.
+// commit applies a transaction on one row and sets h.version. It reads the row back when the reply was
+// lost, and on a conflict that an earlier try of the same transaction may have caused.
 func (l *Ledger) commit(ctx context.Context, txn platform.Txn, h *Handle) error {
 	bounded, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -37,18 +37,18 @@
 	if errors.Is(err, platform.ErrUnavailable) {
 		return err
 	}
-	if errors.Is(err, platform.ErrConflict) && !h.tried(txn.Attempt) {
+	if errors.Is(err, platform.ErrConflict) && !h.mayBeApplied(txn.Attempt) {
 		return err
 	}
-	h.unknown = txn.Attempt
+	h.unknownAttempt = txn.Attempt
 	return l.readBack(ctx, txn, h)
 }
 
-// readBack finds out whether txn was applied. A write that is not in the row yet may still arrive,
-// but only on its condition, so the answer is a conflict or unknown, never "not written".
+// readBack determines whether txn was applied. A write that is not in the row yet may still be applied,
+// if its condition holds then, so the outcome is success, a conflict or unknown, never "not written".
 func (l *Ledger) readBack(ctx context.Context, txn platform.Txn, h *Handle) error {
 	want := txn.Conditions[0]
-	for range unknownReads {
+	for range maxReadBacks {
 		row, err := l.get(ctx, want.Key)
 		switch {
 		case errors.Is(err, platform.ErrNotFound) && txn.Writes[0].Delete:
@@ -64,7 +64,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		time.Sleep(completePause)
+		time.Sleep(writeRetryDelay)
 	}
 	return platform.ErrUnknown
 }
--- a/pkg/ledger/sweep.go
+++ b/pkg/ledger/sweep.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// Shards is the number of parts that the sweeper reads the records in.
+	// Shards is the number of key ranges in which the sweeper lists the records.
 	Shards = 256
-	// SweepPause is the pause between two shards: all are visited in about 21 minutes.
-	SweepPause = 5 * time.Second
-	// SweepBatch bounds the rows that one transaction of the sweeper deletes.
+	// SweepInterval is the interval between two shards: all are visited in about 21 minutes.
+	SweepInterval = 5 * time.Second
+	// SweepBatch bounds the number of rows that one transaction of the sweeper deletes.
 	SweepBatch = 64
 )
 
-// Sweeper deletes records at the end of their lifetime. It costs one List each SweepPause and one
-// write for SweepBatch expired records; one VM of the fleet should run it.
+// Sweeper deletes expired records. It costs one List call per SweepInterval and one write per SweepBatch
+// expired records. One VM of the fleet should run it.
 type Sweeper struct {
 	ledger *Ledger
 	shard  int
@@ -31,19 +31,19 @@
 // NewSweeper returns a Sweeper of l's records.
 func NewSweeper(l *Ledger) *Sweeper { return &Sweeper{ledger: l} }
 
-// Run sweeps one shard each SweepPause, while active reports true, until ctx ends.
+// Run sweeps one shard per SweepInterval, while active returns true, until ctx ends.
 func (s *Sweeper) Run(ctx context.Context, active func() bool) {
-	clock.Every(ctx, SweepPause, func(time.Time) {
+	clock.Every(ctx, SweepInterval, func(time.Time) {
 		if !active() {
 			return
 		}
 		if err := s.Step(ctx, time.Now()); err != nil {
-			s.ledger.log.WithField("event", "record_sweep_failed").WithError(err).Warn("sweep failed")
+			s.ledger.log.WithField("event", "record_sweep_failed").WithError(err).Warn("sweep of expired at-most-once records failed")
 		}
 	})
 }
 
-// Step sweeps the next shard.
+// Step deletes up to SweepBatch expired records of the next shard.
 func (s *Sweeper) Step(ctx context.Context, now time.Time) error {
 	prefix := shardPrefix(fmt.Sprintf("%02x", s.shard))
 	s.shard = (s.shard + 1) % Shards
@@ -75,6 +75,6 @@
 		return err
 	}
 	s.ledger.swept.Inc(int64(len(txn.Writes)))
-	s.ledger.log.WithFields(logrus.Fields{"event": "records_swept", "records": len(txn.Writes)}).Info("expired records deleted")
+	s.ledger.log.WithFields(logrus.Fields{"event": "records_swept", "records": len(txn.Writes)}).Info("expired at-most-once records deleted")
 	return nil
 }
