--- a/pkg/dialect/dialect.go
+++ b/pkg/dialect/dialect.go
@@ -1,5 +1,6 @@
-// Package dialect declares how the headers of callers and endpoints are read and written. Each
-// platform has its own implementation; the gateway knows only the terms of this package.
+// Package dialect declares the interface through which the gateway reads and writes the HTTP headers
+// of callers and endpoints. Each platform has its own header names and its own implementation; the
+// gateway uses only the types of this package.
 package dialect
 
 import (
@@ -7,86 +8,89 @@
 	"time"
 )
 
-// Terms are what a caller's header says of a request.
+// Terms holds what a caller's header states about a request.
 type Terms struct {
-	// ID identifies this attempt of the caller. Endpoints echo it.
+	// ID identifies this attempt by the caller. Endpoints echo it in their responses.
 	ID string
-	// Patience is how long the caller waits for the answer; 0 if it does not say.
+	// Patience is the caller's timeout for the response; 0 if the header states none.
 	Patience time.Duration
-	// Key is the caller's key.
+	// Key is the key that authenticates the caller.
 	Key string
 	// Model is the base model, empty for requests to plain services.
 	Model string
-	// Adapter is the adapter of that model, empty for the base model itself.
+	// Adapter is the name of an adapter of that model; empty for the base model itself.
 	Adapter string
-	// PromptTokens and OutputTokens are the length of the prompt and the bound of the answer.
+	// PromptTokens is the length of the prompt; OutputTokens is the upper bound of the response's length.
 	PromptTokens, OutputTokens int
-	// HasTokens says that the caller has stated token counts.
+	// HasTokens reports whether the caller stated token counts.
 	HasTokens bool
-	// Prompt lists the parts of the prompt in order. Requests share parts; the last one belongs to
-	// the request itself or to its session.
+	// Prompt lists the parts of the prompt in order. Requests may share parts; the last part belongs
+	// to this request or to its session alone.
 	Prompt []PromptPart
-	// LastEvent is the number of the last event that the caller has of a stream to be resumed.
+	// LastEvent is the number of the last event that the caller received of a stream that it wants to resume.
 	LastEvent string
 }
 
-// Tokens is the size of the request: its prompt and the bound of its answer.
+// Tokens returns the size of the request: the prompt's length plus the upper bound of the response's length.
 func (t Terms) Tokens() int64 { return int64(t.PromptTokens) + int64(t.OutputTokens) }
 
-// PromptPart is a part of a prompt that other requests may share.
+// PromptPart is a part of a prompt. Other requests may contain the same part.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Delivery is what the gateway tells an endpoint of a request.
+// Delivery holds what the gateway states about a request in the header that it sends to an endpoint.
 type Delivery struct {
-	// Left is the time that is left for the answer.
+	// Left is the time remaining until the response is due.
 	Left time.Duration
-	// EndpointID makes any other endpoint at the address reject the request.
+	// EndpointID names the endpoint that the request is meant for. Any other endpoint that now has the
+	// same address rejects the request.
 	EndpointID string
-	// Account is the client account that the request runs for; empty on open routes.
+	// Account is the client account on whose behalf the request runs; empty on open routes.
 	Account string
-	// Urgency ranks the request at an engine; 0 is first. Negative leaves it out.
+	// Urgency is the request's priority at an engine; 0 runs first. If negative, no priority is sent.
 	Urgency int
-	// AdapterVersion makes an engine that holds another version reject the request; 0 leaves it out.
+	// AdapterVersion is the version of the adapter that the request needs. An engine that holds another
+	// version rejects the request. If 0, no version is sent.
 	AdapterVersion int
-	// LastEvent resumes a stream after this event; empty leaves it out.
+	// LastEvent is the event after which a stream is to be resumed. If empty, it is not sent.
 	LastEvent string
 }
 
-// Verdict is what an endpoint's answer says of the request.
+// Verdict holds what the header of an endpoint's response states about the request and the endpoint.
 type Verdict struct {
 	// RequestID is the identifier that the endpoint echoes.
 	RequestID string
-	// NotRun says that the endpoint has not run the request and will not.
+	// NotRun reports that the endpoint has not run the request and will not run it.
 	NotRun bool
-	// Misdirected says that the endpoint is another one than addressed, or does not hold the model,
-	// adapter or version.
+	// Misdirected reports that the request reached another endpoint than the one addressed, or one that
+	// does not hold the model, adapter or version.
 	Misdirected bool
-	// Signed says that the answer bears an endpoint's signature.
+	// Signed reports that the response carries an endpoint's signature.
 	Signed bool
-	// Encoded says that the body is not as the endpoint wrote it.
+	// Encoded reports that the body has a content encoding, so it is not as the endpoint wrote it.
 	Encoded bool
-	// Closes says that the endpoint closes the connection after the answer.
+	// Closes reports that the endpoint closes the connection after the response.
 	Closes bool
-	// Leaving says that the endpoint is about to end, and wants no new requests.
+	// Leaving reports that the endpoint is about to shut down and wants no new requests.
 	Leaving bool
-	// Pause is how long an endpoint that has turned the request away wants no further ones from this VM; 0 if it does not
-	// say. PauseText is what it said, if that could not be read or is not kept to.
+	// Pause is how long an endpoint that rejected the request wants no further requests from this VM;
+	// 0 if it states none. PauseText is the value as the endpoint sent it, if that could not be parsed
+	// or is not followed.
 	Pause     time.Duration
 	PauseText string
 }
 
-// Dialect reads and writes headers.
+// Dialect reads and writes the headers of one platform.
 type Dialect interface {
-	// Inspect reads a caller's header. An error says what is malformed in it.
+	// Inspect parses a caller's header. The error names the malformed part.
 	Inspect(h http.Header) (Terms, error)
-	// Forward turns a caller's header into the one that the endpoint gets. It removes the key, what
-	// concerns only the caller's connection, and what is not the caller's to set.
+	// Forward converts a caller's header into the one sent to the endpoint. It removes the key,
+	// hop-by-hop fields, and fields that callers may not set.
 	Forward(h http.Header, d Delivery) http.Header
-	// Judge reads the header of an endpoint's answer.
+	// Judge parses the header of an endpoint's response.
 	Judge(status int, h http.Header) Verdict
-	// Return turns an endpoint's header into the one that the caller gets.
+	// Return converts an endpoint's header into the one sent to the caller.
 	Return(h http.Header) http.Header
 }
--- a/pkg/entry/bench_test.go
+++ b/pkg/entry/bench_test.go
@@ -19,10 +19,10 @@
 	slowConnections = 500
 )
 
-// BenchmarkConnections reports the memory that idle connections and callers that stop in the middle
-// of a body hold, and the latency of another caller beside them.
+// BenchmarkConnections reports the memory held by idle connections and by callers that stop sending in the
+// middle of a body, and the latency of another caller meanwhile.
 func BenchmarkConnections(b *testing.B) {
-	s := newSite(b, func(*work.Request) worktest.Plan { return worktest.Plan{Events: 1} })
+	s := newTestbed(b, func(*work.Request) worktest.Plan { return worktest.Plan{Events: 1} })
 	for b.Loop() {
 		before := memoryInUse()
 		var conns []net.Conn
@@ -56,7 +56,7 @@
 	}
 }
 
-func (s *site) dial(b *testing.B, request string) net.Conn {
+func (s *testbed) dial(b *testing.B, request string) net.Conn {
 	conn, err := net.Dial("tcp", s.Listener.Addr().String())
 	require.NoError(b, err)
 	_, err = fmt.Fprint(conn, request)
--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -36,10 +36,10 @@
 
 func (s *staticSource) Current() *bundle.Bundle { return s.bundle.Load() }
 
-type freeQuota struct{}
+type unlimitedQuota struct{}
 
-func (freeQuota) Admit(context.Context, string, int64) error { return nil }
-func (freeQuota) Return(string, int64)                       {}
+func (unlimitedQuota) Admit(context.Context, string, int64) error { return nil }
+func (unlimitedQuota) Return(string, int64)                       {}
 
 func hashOf(key string) string {
 	sum := sha256.Sum256([]byte(key))
@@ -69,7 +69,9 @@
 	}
 }
 
-type site struct {
+// testbed is a Handler with a request.Service behind it, served over HTTP, and one fake endpoint that is in
+// both groups.
+type testbed struct {
 	*httptest.Server
 	endpoint *worktest.Endpoint
 	owner    *worktest.Owner
@@ -78,13 +80,13 @@
 	service  *request.Service
 }
 
-func quietLog() logrus.FieldLogger {
+func discardLog() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-func newSite(t testing.TB, plan func(*work.Request) worktest.Plan) *site {
+func newTestbed(t testing.TB, plan func(*work.Request) worktest.Plan) *testbed {
 	t.Helper()
 	endpoint := worktest.NewEndpoint(plan)
 	owner := worktest.NewOwner("vm1/1", endpoint)
@@ -96,30 +98,31 @@
 	registry := metrics.NewRegistry()
 	service := request.NewService(request.Config{
 		Directory: directory,
-		Quota:     freeQuota{},
-		Ledger:    ledger.New(nil, request.OwnerProver{Directory: directory}, registry, quietLog()),
+		Quota:     unlimitedQuota{},
+		Ledger:    ledger.New(nil, request.OwnerProver{Directory: directory}, registry, discardLog()),
 		Suspects:  suspect.NewGuard(suspect.NewTable(suspect.OwnerLimits()), nil),
 		Retries:   retry.New(),
 		Memory:    held,
 		Metrics:   registry,
-		Log:       quietLog(),
+		Log:       discardLog(),
 	})
 	source := &staticSource{}
 	source.bundle.Store(testBundle())
 	handler := NewHandler(Config{
 		Source: source, Runner: service, Limits: limits, Memory: held,
-		Metrics: registry, Log: quietLog(), Ready: func() error { return nil },
+		Metrics: registry, Log: discardLog(), Ready: func() error { return nil },
 	})
 	server := httptest.NewUnstartedServer(handler)
 	server.Config = NewHTTPServer(handler, nil)
 	server.Start()
 	t.Cleanup(server.Close)
-	return &site{server, endpoint, owner, source, handler, service}
+	return &testbed{server, endpoint, owner, source, handler, service}
 }
 
-func threePieces(*work.Request) worktest.Plan { return worktest.Plan{Events: 3} }
+// threeEvents is the plan of an endpoint that responds with three events.
+func threeEvents(*work.Request) worktest.Plan { return worktest.Plan{Events: 3} }
 
-func (s *site) client(key string) openai.Client {
+func (s *testbed) client(key string) openai.Client {
 	return openai.NewClient(option.WithAPIKey(key), option.WithBaseURL(s.URL+"/v1/"), option.WithMaxRetries(0))
 }
 
@@ -131,7 +134,7 @@
 }
 
 func TestOpenAIClient(t *testing.T) {
-	s := newSite(t, threePieces)
+	s := newTestbed(t, threeEvents)
 	client := s.client(testKey)
 
 	t.Run("plain", func(t *testing.T) {
@@ -139,7 +142,7 @@
 		answer, err := client.Chat.Completions.New(t.Context(), chatParams("help"), option.WithResponseInto(&raw))
 		require.NoError(t, err)
 		require.Equal(t, "help:2", raw.Header.Get(HeaderAdapter))
-		require.Empty(t, raw.Header.Get("X-Answer-To"), "an engine's own header stays inside")
+		require.Empty(t, raw.Header.Get("X-Answer-To"), "an engine's own header fields are not passed on")
 		require.Equal(t, "answer to "+raw.Header.Get(HeaderRequest), answer.Choices[0].Message.Content)
 	})
 	t.Run("streamed", func(t *testing.T) {
@@ -173,7 +176,7 @@
 	})
 }
 
-func (s *site) clientError(t *testing.T, key string) (*openai.ChatCompletion, *openai.Error) {
+func (s *testbed) clientError(t *testing.T, key string) (*openai.ChatCompletion, *openai.Error) {
 	client := s.client(key)
 	answer, err := client.Chat.Completions.New(t.Context(), chatParams("help"))
 	var e *openai.Error
@@ -181,9 +184,11 @@
 	return answer, e
 }
 
+// TestOpenAIClientSeesCutStream checks that OpenAI's client reports an error, not a complete response, if the
+// endpoint crashes in the middle of a stream.
 func TestOpenAIClientSeesCutStream(t *testing.T) {
 	crash := &work.Failure{Code: result.EndpointFailed, Outcome: result.MayHaveRun, Crashed: true, Crash: "e1/1"}
-	s := newSite(t, func(*work.Request) worktest.Plan {
+	s := newTestbed(t, func(*work.Request) worktest.Plan {
 		return worktest.Plan{Events: 5, EventEvery: time.Millisecond, FailAt: 2, Failure: crash}
 	})
 	client := s.client(testKey)
@@ -193,8 +198,8 @@
 	require.ErrorContains(t, stream.Err(), "answer-cut")
 }
 
-func TestBadInput(t *testing.T) {
-	s := newSite(t, threePieces)
+func TestInvalidRequestsAreRejected(t *testing.T) {
+	s := newTestbed(t, threeEvents)
 	good := `{"model":"help","messages":[{"role":"user","content":"x"}]}`
 	cases := []struct {
 		name, method, path, body string
@@ -239,7 +244,7 @@
 	require.Zero(t, s.endpoint.Total(), "no refused request reaches the endpoint")
 }
 
-func (s *site) do(t testing.TB, method, path, body string, header http.Header) (int, []byte, http.Header) {
+func (s *testbed) do(t testing.TB, method, path, body string, header http.Header) (int, []byte, http.Header) {
 	t.Helper()
 	req, err := http.NewRequest(method, s.URL+path, strings.NewReader(body))
 	require.NoError(t, err)
@@ -258,8 +263,10 @@
 	return res.StatusCode, data, res.Header
 }
 
+// TestKeyReachesNoEndpoint sends the caller's key in the query, header and body of requests. It must not be
+// forwarded in any of them.
 func TestKeyReachesNoEndpoint(t *testing.T) {
-	s := newSite(t, threePieces)
+	s := newTestbed(t, threeEvents)
 	body := `{"note":"` + testKey + `"}`
 	header := http.Header{
 		"X-Api-Key":           {testKey},
@@ -294,25 +301,27 @@
 	require.Equal(t, http.StatusBadRequest, status)
 }
 
-func TestKeyIsFoundWhereverItIs(t *testing.T) {
+func TestKeyIsRemovedFromHeaderNamesAndRefusedInJSON(t *testing.T) {
 	const key = "Secret-Key"
 	known := func(text string) bool { return text == key }
-	shown := credentials{key: key, all: []string{key}, known: known}
-	require.Empty(t, shown.header(http.Header{"X-Secret-Key": {"1"}, "Secret-Key": {"1"}}))
-	require.Empty(t, shown.header(http.Header{http.CanonicalHeaderKey("x-sEcret-kEy-x"): {"1"}}))
-	hidden := credentials{known: known}
+	shown := credentials{key: key, secrets: []string{key}, isKey: known}
+	require.Empty(t, shown.redactHeader(http.Header{"X-Secret-Key": {"1"}, "Secret-Key": {"1"}}))
+	require.Empty(t, shown.redactHeader(http.Header{http.CanonicalHeaderKey("x-sEcret-kEy-x"): {"1"}}))
+	hidden := credentials{isKey: known}
 	for _, body := range []string{`{"api_key":"Secret-Key"}`, `["x",{"Secret-Key":1}]`, `{"k":"\u0053ecret-Key"}`} {
-		_, e := hidden.body([]byte(body), "application/json")
+		_, e := hidden.redactBody([]byte(body), "application/json")
 		require.NotNil(t, e, body)
 		require.Equal(t, result.MalformedBody, e.Code)
 		require.NotContains(t, e.Error(), key)
 	}
-	_, e := hidden.body([]byte(`{"note":"no key"}`), "application/json")
+	_, e := hidden.redactBody([]byte(`{"note":"no key"}`), "application/json")
 	require.Nil(t, e)
 }
 
+// TestWithdrawnKeyOnKeptConnectionAndInQueue checks that a key removed from the bundle is refused for a
+// request that is already queued, and for later requests on the same connection.
 func TestWithdrawnKeyOnKeptConnectionAndInQueue(t *testing.T) {
-	s := newSite(t, func(*work.Request) worktest.Plan { return worktest.Plan{Events: 1, QueueFor: 3 * time.Second} })
+	s := newTestbed(t, func(*work.Request) worktest.Plan { return worktest.Plan{Events: 1, QueueFor: 3 * time.Second} })
 	without := testBundle()
 	without.Keys = nil
 	time.AfterFunc(50*time.Millisecond, func() { s.source.bundle.Store(without) })
@@ -324,8 +333,8 @@
 	require.Zero(t, s.endpoint.Total())
 }
 
-func TestProbes(t *testing.T) {
-	s := newSite(t, threePieces)
+func TestHealthAndReadinessProbes(t *testing.T) {
+	s := newTestbed(t, threeEvents)
 	status, _, _ := s.do(t, "GET", "/readyz", "", nil)
 	require.Equal(t, http.StatusOK, status)
 	s.handler.SetDraining()
--- a/pkg/entry/errors.go
+++ b/pkg/entry/errors.go
@@ -10,7 +10,7 @@
 	"github.com/mallowlink/mallowlink/pkg/result"
 )
 
-// Header fields of mallowlink's own.
+// Header fields that mallowlink reads from requests or adds to responses.
 const (
 	// HeaderRequest carries the request's identifier.
 	HeaderRequest = "X-Request-Id"
@@ -18,20 +18,22 @@
 	HeaderAdapter = "X-Mallowlink-Adapter"
 	// HeaderClass carries the priority class that the caller asks for.
 	HeaderClass = "X-Mallowlink-Class"
-	// HeaderTimeout carries the time that the caller gives the request: a Go duration, or seconds.
+	// HeaderTimeout carries the caller's timeout for the request: a Go duration, or a number of seconds.
 	HeaderTimeout = "X-Mallowlink-Timeout"
 	// HeaderCode carries the number of the result code of an error.
 	HeaderCode = "X-Mallowlink-Code"
 	// HeaderOutcome carries the outcome of an error.
 	HeaderOutcome = "X-Mallowlink-Outcome"
-	// HeaderIdempotencyKey carries the caller's name for a non-idempotent request.
+	// HeaderIdempotencyKey carries the caller's identifier for a non-idempotent request. Repetitions of
+	// the request carry the same one.
 	HeaderIdempotencyKey = "Idempotency-Key"
 
-	// headerShouldRetry keeps OpenAI's clients from sending again what may have run.
+	// headerShouldRetry tells OpenAI's clients whether to retry. It keeps them from repeating a request
+	// that may have run.
 	headerShouldRetry = "X-Should-Retry"
 )
 
-// errorBody is OpenAI's shape of an error, with the result's fields added.
+// errorBody is an error response in OpenAI's format, extended by the fields of the result.
 type errorBody struct {
 	Error errorFields `json:"error"`
 }
@@ -44,7 +46,7 @@
 	Result    result.Code    `json:"result"`
 	Outcome   result.Outcome `json:"outcome"`
 	RequestID string         `json:"request_id"`
-	// RetryAfter is in seconds; 0 if not known.
+	// RetryAfter is in seconds; 0 if unknown.
 	RetryAfter int64 `json:"retry_after,omitempty"`
 }
 
@@ -63,7 +65,7 @@
 		RequestID:  id,
 		RetryAfter: wholeSeconds(e.RetryAfter),
 	}}
-	// The struct holds nothing that cannot be marshalled.
+	// Marshalling cannot fail: the struct holds only types that JSON can represent.
 	data, _ := json.Marshal(body)
 	return data
 }
@@ -82,7 +84,7 @@
 	return "server_error"
 }
 
-// wholeSeconds rounds up, as Retry-After takes whole seconds.
+// wholeSeconds rounds up to whole seconds, the unit of Retry-After.
 func wholeSeconds(d time.Duration) int64 {
 	if d <= 0 {
 		return 0
@@ -90,7 +92,7 @@
 	return int64(math.Ceil(d.Seconds()))
 }
 
-// writeError answers with the error. Outcomes other than not-run tell clients not to retry.
+// writeError writes the error as the response. For outcomes other than not-run it tells clients not to retry.
 func writeError(w *writer, e *result.Error) {
 	header := w.Header()
 	for _, name := range []string{"Content-Length", "Content-Encoding", "Cache-Control"} {
--- a/pkg/entry/fuzz_test.go
+++ b/pkg/entry/fuzz_test.go
@@ -13,13 +13,13 @@
 	"github.com/mallowlink/mallowlink/pkg/endpoint"
 )
 
-// FuzzRequest feeds raw HTTP requests to the handler. Whatever arrives, it is answered with a status,
-// and no endpoint sees the caller's key.
+// FuzzRequest sends arbitrary raw HTTP requests to the handler. Each must get a status, and the caller's key
+// must never reach an endpoint.
 func FuzzRequest(f *testing.F) {
 	f.Add("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + testKey + "\r\nContent-Length: 60\r\n\r\n{\"model\":\"help\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]} ")
 	f.Add("GET /tags/1?k=" + testKey + " HTTP/1.1\r\nHost: x\r\nX-Api-Key: " + testKey + "\r\nConnection: x-api-key\r\n\r\n")
 	f.Add("POST /issues HTTP/1.1\r\nHost: x\r\nAuthorization: bearer " + testKey + "\r\nTransfer-Encoding: chunked\r\nTrailer: X-T\r\n\r\n1\r\nx\r\n0\r\nX-T: " + testKey + "\r\n\r\n")
-	s := newSite(f, threePieces)
+	s := newTestbed(f, threeEvents)
 	f.Fuzz(func(t *testing.T, raw string) {
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(raw)))
 		if err != nil || r.Body == nil {
@@ -40,8 +40,8 @@
 	})
 }
 
-// FuzzCompletion requires that a body that is taken is forwarded as valid JSON with the model, the
-// bound and every other field.
+// FuzzCompletion checks that every accepted body is forwarded as valid JSON with the adapter version as the
+// model, the upper bound of output tokens and all other fields.
 func FuzzCompletion(f *testing.F) {
 	f.Add([]byte(`{"model":"help","messages":[1],"max_tokens":5,"n":2,"stream":true}`))
 	f.Add([]byte(`{"model":"help","messages":[1],"max_completion_tokens":5,"x":{"y":[null]}}`))
@@ -51,7 +51,7 @@
 			return
 		}
 		fields := len(c.fields)
-		out, e := c.forward(endpoint.AdapterVersion{Adapter: "a", Version: "1"}, 7)
+		out, e := c.engineBody(endpoint.AdapterVersion{Adapter: "a", Version: "1"}, 7)
 		if e != nil {
 			t.Fatal(e)
 		}
@@ -65,13 +65,13 @@
 	})
 }
 
-// FuzzQuery compares the removal of keys from a query with one by net/url.
+// FuzzQuery checks with net/url's parser that no key is left in a query after the removal of keys.
 func FuzzQuery(f *testing.F) {
 	f.Add("a=1&k=" + testKey + "&b=%6bey&&c")
 	f.Add("%zz=1&a;b=2&" + testKey + "=1")
-	c := credentials{all: []string{testKey}, known: func(string) bool { return false }}
+	c := credentials{secrets: []string{testKey}, isKey: func(string) bool { return false }}
 	f.Fuzz(func(t *testing.T, raw string) {
-		kept := c.query(raw)
+		kept := c.redactQuery(raw)
 		values, err := url.ParseQuery(kept)
 		if err != nil && !strings.Contains(kept, ";") {
 			t.Fatal(err)
@@ -84,8 +84,8 @@
 	})
 }
 
-// FuzzEvent requires that any data comes out of an event stream as it went in, but for its line
-// ends, and that it cannot end its event or begin another.
+// FuzzEvent checks that data is read from an event stream as it was written, except for its line breaks, and
+// that data can neither end its event nor begin another.
 func FuzzEvent(f *testing.F) {
 	f.Add("error", []byte("a\nb\r\nc\rd"))
 	f.Add("", []byte("\n\ndata: forged\n\n"))
--- a/pkg/entry/handler.go
+++ b/pkg/entry/handler.go
@@ -24,25 +24,25 @@
 	"github.com/mallowlink/mallowlink/pkg/result"
 )
 
-// Runner follows a request to its final answer; request.Service is one.
+// Runner runs a request until its final response or error. request.Service implements it.
 type Runner interface {
 	Run(ctx context.Context, call *request.Call, sink request.Sink) *result.Error
 }
 
-// Config holds a Handler's collaborators.
+// Config holds the dependencies and settings of a Handler.
 type Config struct {
 	Source Source
 	Runner Runner
 	Limits Limits
-	// Memory is shared with the Runner.
+	// Memory is the budget for bodies and unfinished responses. The Runner shares it.
 	Memory  *memory.Budget
 	Metrics metrics.Registry
 	Log     logrus.FieldLogger
-	// Ready says why the VM is not ready for callers, or nil.
+	// Ready returns the reason why the VM is not ready for callers, or nil if it is ready.
 	Ready func() error
 }
 
-// Handler answers callers.
+// Handler is the HTTP handler for callers' requests.
 type Handler struct {
 	source  Source
 	runner  Runner
@@ -53,8 +53,9 @@
 	metrics counters
 	router  *mux.Router
 
+	// current is the index used last; indexMu serializes the building of a new one.
 	current  atomic.Pointer[index]
-	building sync.Mutex
+	indexMu  sync.Mutex
 	draining atomic.Bool
 	refusing atomic.Bool
 }
@@ -75,8 +76,8 @@
 	h.router.Path("/healthz").Methods(http.MethodGet).HandlerFunc(h.healthz)
 	h.router.Path("/readyz").Methods(http.MethodGet).HandlerFunc(h.readyz)
 	h.router.Path("/v1/models").Methods(http.MethodGet).Handler(h.guard(h.models))
-	h.router.Path("/v1/chat/completions").Methods(http.MethodPost).Handler(h.guard(h.chat))
-	h.router.Path("/v1/completions").Methods(http.MethodPost).Handler(h.guard(h.text))
+	h.router.Path("/v1/chat/completions").Methods(http.MethodPost).Handler(h.guard(h.chatCompletion))
+	h.router.Path("/v1/completions").Methods(http.MethodPost).Handler(h.guard(h.textCompletion))
 	h.router.NotFoundHandler = h.guard(h.service)
 	h.router.MethodNotAllowedHandler = h.guard(h.wrongMethod)
 	return h
@@ -85,10 +86,10 @@
 // ServeHTTP answers one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.router.ServeHTTP(w, r) }
 
-// SetDraining turns readiness off and has callers' connections closed after their next answer.
+// SetDraining makes the readiness probe fail, and closes each caller's connection after its next response.
 func (h *Handler) SetDraining() { h.draining.Store(true) }
 
-// SetRefusing has new requests refused as not-run, at the end of a planned stop.
+// SetRefusing makes the handler refuse new requests with the outcome not-run, at the end of a planned stop.
 func (h *Handler) SetRefusing() { h.refusing.Store(true) }
 
 func (h *Handler) healthz(w http.ResponseWriter, _ *http.Request) {
@@ -109,7 +110,7 @@
 	io.WriteString(w, "ready\n")
 }
 
-// exchange is one request with its answer, past the checks that every request passes.
+// exchange is one request with its response, after the checks that are common to all requests.
 type exchange struct {
 	w           *writer
 	r           *http.Request
@@ -119,15 +120,15 @@
 	account string
 }
 
-// guard wraps a step of the handler with what every request needs. The step returns the error that
-// ends the request, or nil if it is answered.
+// guard returns a handler that makes the checks common to all requests and then calls step. The step
+// returns the error that ends the request, or nil if it has written the response.
 func (h *Handler) guard(step func(*exchange) *result.Error) http.Handler {
 	return http.HandlerFunc(func(raw http.ResponseWriter, r *http.Request) {
 		w := newWriter(raw, uuid.NewString(), h.limits.WriteTimeout)
 		if h.draining.Load() {
 			w.Header().Set("Connection", "close")
 		}
-		x, e := h.open(w, r)
+		x, e := h.check(w, r)
 		if e == nil {
 			e = step(x)
 		}
@@ -138,7 +139,7 @@
 	})
 }
 
-// run hands the call over. Its end is logged by the runner.
+// run passes the call to the Runner, which also logs how the call ended.
 func (h *Handler) run(x *exchange, call *request.Call) {
 	if e := h.runner.Run(x.r.Context(), call, x.w); e != nil {
 		h.metrics.result(e.Code).Inc(1)
@@ -146,7 +147,7 @@
 	}
 }
 
-// refuse ends a request that was not handed over.
+// refuse ends a request that was not passed to the Runner, with an error response.
 func (h *Handler) refuse(w *writer, r *http.Request, e *result.Error) {
 	h.metrics.refused.Inc(1)
 	h.metrics.result(e.Code).Inc(1)
@@ -156,16 +157,16 @@
 	h.log.WithFields(logrus.Fields{
 		"event": "request_refused", "request": w.id, "method": r.Method,
 		"code": int(e.Code), "name": e.Code.Name(), "outcome": e.Outcome,
-	}).Info("request not answered")
+	}).Info("request refused")
 	w.fail(e)
 }
 
-// open checks what is the same for every request.
-func (h *Handler) open(w *writer, r *http.Request) (*exchange, *result.Error) {
+// check makes the checks that are common to all requests.
+func (h *Handler) check(w *writer, r *http.Request) (*exchange, *result.Error) {
 	if h.refusing.Load() {
 		return nil, result.New(result.Draining, "this VM stops")
 	}
-	x := h.lookup()
+	x := h.currentIndex()
 	if x == nil {
 		return nil, result.New(result.NoBundle, "no bundle is known yet")
 	}
@@ -175,7 +176,7 @@
 	if clean := path.Clean(r.URL.Path); clean != r.URL.Path && clean+"/" != r.URL.Path {
 		return nil, result.New(result.UnknownRoute, "the path is not in its shortest form")
 	}
-	c, e := credentialsOf(r, x.isKey)
+	c, e := readCredentials(r, x.isKey)
 	if e != nil {
 		return nil, e
 	}
@@ -183,8 +184,9 @@
 	return &exchange{w: w, r: r, index: x, credentials: c, account: account}, nil
 }
 
-// lookup returns the index of the bundle in force.
-func (h *Handler) lookup() *index {
+// currentIndex returns the index of the current bundle, or nil if there is no bundle yet. It builds the index if
+// the bundle has changed.
+func (h *Handler) currentIndex() *index {
 	b := h.source.Current()
 	x := h.current.Load()
 	if b == nil {
@@ -193,8 +195,8 @@
 	if x != nil && x.bundle == b {
 		return x
 	}
-	h.building.Lock()
-	defer h.building.Unlock()
+	h.indexMu.Lock()
+	defer h.indexMu.Unlock()
 	b = h.source.Current()
 	if x = h.current.Load(); x != nil && x.bundle == b {
 		return x
@@ -204,7 +206,7 @@
 	return x
 }
 
-// requireAccount returns the error for a request without a valid key.
+// requireAccount returns an error if the request has no valid key.
 func (x *exchange) requireAccount() *result.Error {
 	switch {
 	case x.credentials.key == "":
@@ -215,11 +217,11 @@
 	return nil
 }
 
-// authorized returns the check that the caller's key is still valid for its client account.
-func (h *Handler) authorized(x *exchange) func() bool {
+// authorizer returns a function that reports whether the caller's key is still valid for its client account.
+func (h *Handler) authorizer(x *exchange) func() bool {
 	sum, account := x.credentials.hash(), x.account
 	return func() bool {
-		now := h.lookup()
+		now := h.currentIndex()
 		if now == nil {
 			return false
 		}
@@ -228,7 +230,7 @@
 	}
 }
 
-// class returns the priority class that the caller asks for.
+// class returns the priority class that the caller asks for, or the fallback if it names none.
 func (x *exchange) class(fallback bundle.Class) (bundle.Class, *result.Error) {
 	value := bundle.Class(x.r.Header.Get(HeaderClass))
 	switch value {
@@ -240,7 +242,8 @@
 	return "", result.New(result.BadHeader, HeaderClass+" must be interactive or batch")
 }
 
-// deadline returns the deadline of a request that arrives now.
+// deadline returns the deadline of a request that arrives now. The fallback applies if the caller names no
+// timeout; 0 stands for the default timeout.
 func (h *Handler) deadline(x *exchange, fallback time.Duration) (time.Time, *result.Error) {
 	timeout := fallback
 	if timeout <= 0 {
@@ -256,7 +259,7 @@
 	return time.Now().Add(min(timeout, h.limits.MaxTimeout)), nil
 }
 
-// parseTimeout reads a Go duration or a number of seconds.
+// parseTimeout parses a Go duration or a number of seconds. It reports false unless the value is positive.
 func parseTimeout(value string) (time.Duration, bool) {
 	if d, err := time.ParseDuration(value); err == nil {
 		return d, d > 0
@@ -287,17 +290,17 @@
 	return allowed
 }
 
-// errorLog passes net/http's messages, on broken connections, to the log's debug level.
+// errorLog returns a logger for net/http's messages about broken connections. They are logged at debug level.
 func (h *Handler) errorLog() *log.Logger {
-	return log.New(logLine{h.log}, "", 0)
+	return log.New(errorLogWriter{h.log}, "", 0)
 }
 
-type logLine struct {
+type errorLogWriter struct {
 	log logrus.FieldLogger
 }
 
-// Write logs one message.
-func (l logLine) Write(p []byte) (int, error) {
+// Write logs one message of net/http.
+func (l errorLogWriter) Write(p []byte) (int, error) {
 	l.log.WithField("event", "connection_error").Debug(strings.TrimSpace(string(p)))
 	return len(p), nil
 }
--- a/pkg/entry/index.go
+++ b/pkg/entry/index.go
@@ -1,5 +1,5 @@
-// Package entry takes callers' HTTP requests: it authenticates them, checks their form, strips the
-// caller's key, and hands them to package request.
+// Package entry is the HTTP front end for callers. It authenticates and validates their requests, removes
+// the caller's key from what is forwarded, and passes the requests to package request.
 package entry
 
 import (
@@ -19,16 +19,17 @@
 	"github.com/mallowlink/mallowlink/pkg/endpoint"
 )
 
-// Source gives the bundle that is in force.
+// Source provides the current bundle, the fleet's configuration.
 type Source interface {
-	// Current returns the bundle, or nil before the first one is known.
+	// Current returns the current bundle, or nil if none has been received yet.
 	Current() *bundle.Bundle
 }
 
-// index is what the entry looks up in one bundle.
+// index holds the lookup tables built from one bundle. It is immutable.
 type index struct {
 	bundle *bundle.Bundle
-	// keys finds key hashes by their first eight bytes. The rest is compared in constant time.
+	// keys maps the first eight bytes of a key's hash to the hashes that begin with them. Whole hashes are
+	// compared in constant time.
 	keys map[uint64][]keyHash
 	// groups lists the engine groups of each model, in lexical order.
 	groups map[string][]string
@@ -84,7 +85,7 @@
 	}
 }
 
-// account returns the client account whose key has the hash.
+// account returns the client account whose key has the given hash.
 func (x *index) account(sum [sha256.Size]byte) (string, bool) {
 	account, found := "", 0
 	for _, key := range x.keys[binary.BigEndian.Uint64(sum[:])] {
@@ -95,13 +96,13 @@
 	return account, found == 1
 }
 
-// isKey reports whether the value is any caller's key.
+// isKey reports whether the value is a valid key of any client account.
 func (x *index) isKey(value string) bool {
 	_, ok := x.account(sha256.Sum256([]byte(value)))
 	return ok
 }
 
-// match returns the route of the request. It reports wrongMethod if only the method does not fit.
+// match returns the route of the request. wrongMethod reports that a route has the path but not the method.
 func (x *index) match(r *http.Request) (route bundle.Route, ok, wrongMethod bool) {
 	var m mux.RouteMatch
 	if x.routes.Match(r, &m) && m.MatchErr == nil && m.Route != nil {
@@ -115,7 +116,7 @@
 	http.MethodDelete, http.MethodGet, http.MethodHead, http.MethodPatch, http.MethodPost, http.MethodPut,
 }
 
-// methods returns the methods that the request's path takes, for the Allow header.
+// methods returns the methods that the bundle's routes accept for the request's path, for the Allow header.
 func (x *index) methods(r *http.Request) []string {
 	var allowed []string
 	for _, method := range routeMethods {
@@ -128,7 +129,8 @@
 	return allowed
 }
 
-// resolve returns the adapter version that a model name stands for.
+// resolve returns the adapter and version that a model name denotes: "adapter" for its default version, or
+// "adapter:version".
 func (x *index) resolve(model string) (bundle.Adapter, endpoint.AdapterVersion, bool) {
 	if a, ok := x.bundle.Adapters[model]; ok {
 		return a, endpoint.AdapterVersion{Adapter: model, Version: a.Default}, true
@@ -145,8 +147,8 @@
 	return a, endpoint.AdapterVersion{Adapter: name, Version: version}, true
 }
 
-// groupsFor returns the groups that can serve the adapter, in the adapter's order by rendezvous
-// hashing: every VM prefers the same group for an adapter.
+// groupsFor returns the engine groups that can serve the adapter, ordered by rendezvous hashing so that
+// every VM prefers the same group for an adapter.
 func (x *index) groupsFor(a bundle.Adapter) []string {
 	groups := slices.Clone(x.groups[a.Model])
 	score := func(group string) uint64 { return xxhash.Sum64String(a.Name + "\x00" + group) }
--- a/pkg/entry/key.go
+++ b/pkg/entry/key.go
@@ -16,27 +16,27 @@
 const (
 	headerAPIKey = "X-Api-Key"
 	bearerScheme = "bearer"
-	// minSubstring is the length from which a key is looked for inside of other values. A shorter
-	// one would be found by chance; it is removed only where it is the whole value.
-	minSubstring = 8
-	// removed stands in a body for the caller's key.
-	removed = "[removed]"
+	// minSubstringLength is the length in bytes from which a key is searched for inside other values. A
+	// shorter one could occur there by chance; it is removed only where it is the whole value.
+	minSubstringLength = 8
+	// redacted replaces the caller's key in a body.
+	redacted = "[removed]"
 )
 
-// credentials holds what a caller sent as its key, so that it can be kept from endpoints. It is
-// never logged and has no exported form.
+// credentials holds the keys that a caller sent, so that they can be removed from what endpoints receive.
+// It must not be logged; it has no exported fields.
 type credentials struct {
-	// key is the one that authenticates the caller; empty if there is none.
+	// key is the key that authenticates the caller; empty if the caller sent none.
 	key string
-	// all are the values to be removed from what is forwarded.
-	all []string
-	// known reports whether a value is a key of the bundle.
-	known func(string) bool
+	// secrets lists all values that the caller sent as credentials. They are removed from what is forwarded.
+	secrets []string
+	// isKey reports whether a value is a valid key of any client account in the bundle.
+	isKey func(string) bool
 }
 
-// credentialsOf reads the caller's key from the request.
-func credentialsOf(r *http.Request, known func(string) bool) (credentials, *result.Error) {
-	c := credentials{known: known}
+// readCredentials reads the caller's credentials from the request.
+func readCredentials(r *http.Request, known func(string) bool) (credentials, *result.Error) {
+	c := credentials{isKey: known}
 	if len(r.Header.Values("Authorization")) > 1 || len(r.Header.Values(headerAPIKey)) > 1 {
 		return c, result.New(result.BadHeader, "Authorization and X-Api-Key may be sent once")
 	}
@@ -56,8 +56,8 @@
 }
 
 func (c *credentials) add(value string) {
-	if value != "" && !slices.Contains(c.all, value) {
-		c.all = append(c.all, value)
+	if value != "" && !slices.Contains(c.secrets, value) {
+		c.secrets = append(c.secrets, value)
 	}
 }
 
@@ -77,34 +77,34 @@
 
 func (c *credentials) hash() [sha256.Size]byte { return sha256.Sum256([]byte(c.key)) }
 
-// in reports whether the value holds a key.
-func (c *credentials) in(value string) bool {
+// foundIn reports whether the value contains a key that the caller sent, or is any key of the bundle.
+func (c *credentials) foundIn(value string) bool {
 	if value == "" {
 		return false
 	}
-	for _, secret := range c.all {
-		if value == secret || len(secret) >= minSubstring && strings.Contains(value, secret) {
+	for _, secret := range c.secrets {
+		if value == secret || len(secret) >= minSubstringLength && strings.Contains(value, secret) {
 			return true
 		}
 	}
-	return c.known(value) || c.known(authToken(value))
+	return c.isKey(value) || c.isKey(authToken(value))
 }
 
-// inName reports whether a header field's name holds a key. Names have no case of their own: net/http
-// has changed the one that the caller sent.
-func (c *credentials) inName(name string) bool {
+// foundInName reports whether a header field's name contains a key. The comparison ignores case, because
+// net/http has already changed the case that the caller sent.
+func (c *credentials) foundInName(name string) bool {
 	lower := strings.ToLower(name)
-	for _, secret := range c.all {
-		if len(secret) >= minSubstring && strings.Contains(lower, strings.ToLower(secret)) {
+	for _, secret := range c.secrets {
+		if len(secret) >= minSubstringLength && strings.Contains(lower, strings.ToLower(secret)) {
 			return true
 		}
 	}
-	return c.in(name) || c.known(lower)
+	return c.foundIn(name) || c.isKey(lower)
 }
 
-// query returns the raw query without the parameters that hold a key. A parameter that cannot be
-// decoded is removed too.
-func (c *credentials) query(raw string) string {
+// redactQuery returns the raw query without the parameters that contain a key. Parameters that cannot be
+// decoded are removed too.
+func (c *credentials) redactQuery(raw string) string {
 	if raw == "" {
 		return ""
 	}
@@ -113,7 +113,7 @@
 		name, value, _ := strings.Cut(pair, "=")
 		plainName, err1 := url.QueryUnescape(name)
 		plainValue, err2 := url.QueryUnescape(value)
-		if err1 != nil || err2 != nil || c.in(plainName) || c.in(plainValue) {
+		if err1 != nil || err2 != nil || c.foundIn(plainName) || c.foundIn(plainValue) {
 			continue
 		}
 		kept = append(kept, pair)
@@ -121,39 +121,39 @@
 	return strings.Join(kept, "&")
 }
 
-// never are the request fields that are not forwarded.
-var never = []string{
+// notForwarded lists the request's header fields that are never forwarded to endpoints.
+var notForwarded = []string{
 	"Authorization", headerAPIKey, "Cookie", "Expect", "Content-Length", "Host", "Accept-Encoding",
 }
 
-// ownPrefix begins the names of mallowlink's own header fields.
+// ownPrefix is the prefix of mallowlink's own header fields.
 const ownPrefix = "X-Mallowlink-"
 
-// header returns the request header that a plain service gets.
-func (c *credentials) header(in http.Header) http.Header {
+// redactHeader returns the header that is forwarded to a plain service.
+func (c *credentials) redactHeader(in http.Header) http.Header {
 	out := httpheader.StripHopByHop(in)
-	for _, name := range never {
+	for _, name := range notForwarded {
 		out.Del(name)
 	}
 	for name, values := range out {
-		if strings.HasPrefix(name, ownPrefix) || c.inName(name) || slices.ContainsFunc(values, c.in) {
+		if strings.HasPrefix(name, ownPrefix) || c.foundInName(name) || slices.ContainsFunc(values, c.foundIn) {
 			delete(out, name)
 		}
 	}
 	return out
 }
 
-// body returns the body without the keys that stand in it as they are. A body that holds one in an
-// escaped form is refused.
-func (c *credentials) body(body []byte, contentType string) ([]byte, *result.Error) {
-	for _, secret := range c.all {
-		if len(secret) >= minSubstring {
-			body = bytes.ReplaceAll(body, []byte(secret), []byte(removed))
+// redactBody returns the body with the keys that occur in it literally replaced. A body that contains a key
+// in an escaped form is refused.
+func (c *credentials) redactBody(body []byte, contentType string) ([]byte, *result.Error) {
+	for _, secret := range c.secrets {
+		if len(secret) >= minSubstringLength {
+			body = bytes.ReplaceAll(body, []byte(secret), []byte(redacted))
 		}
 	}
-	hidden := c.inJSON(body)
+	hidden := c.foundInJSON(body)
 	if strings.HasPrefix(contentType, "application/x-www-form-urlencoded") {
-		hidden = c.query(string(body)) != string(body)
+		hidden = c.redactQuery(string(body)) != string(body)
 	}
 	if hidden {
 		return nil, result.New(result.MalformedBody, "the body holds the caller's key")
@@ -161,13 +161,14 @@
 	return body, nil
 }
 
-// inJSON reports whether a JSON body holds a key in a string: one with escapes that the caller has also
-// sent elsewhere, or, if the caller has sent none elsewhere, any key of the bundle. A body that is not
-// JSON is scanned up to its first error.
-func (c *credentials) inJSON(body []byte) bool {
-	isKey := c.sent
-	if len(c.all) == 0 {
-		isKey = c.known
+// foundInJSON reports whether a string in a JSON body contains a key. If the caller sent keys as credentials,
+// only these are searched for, and only in bodies with escapes, since literal ones are already replaced.
+// If it sent none, the strings are compared with all keys of the bundle. A body that is not JSON is
+// scanned up to its first syntax error.
+func (c *credentials) foundInJSON(body []byte) bool {
+	isKey := c.sentIn
+	if len(c.secrets) == 0 {
+		isKey = c.isKey
 	} else if !bytes.ContainsRune(body, '\\') {
 		return false
 	}
@@ -185,9 +186,9 @@
 	}
 }
 
-// sent reports whether the text holds a key that the caller sent with this request.
-func (c *credentials) sent(text string) bool {
-	return slices.ContainsFunc(c.all, func(secret string) bool {
-		return len(secret) >= minSubstring && strings.Contains(text, secret)
+// sentIn reports whether the text contains a key that the caller sent as a credential of this request.
+func (c *credentials) sentIn(text string) bool {
+	return slices.ContainsFunc(c.secrets, func(secret string) bool {
+		return len(secret) >= minSubstringLength && strings.Contains(text, secret)
 	})
 }
--- a/pkg/entry/limits.go
+++ b/pkg/entry/limits.go
@@ -11,31 +11,31 @@
 	"github.com/mallowlink/mallowlink/pkg/result"
 )
 
-// Limits bound what callers can make a VM hold.
+// Limits bounds the resources that callers can make a VM hold.
 type Limits struct {
-	// MaxBody bounds the bytes of a request body.
+	// MaxBody is the maximum size of a request body in bytes.
 	MaxBody int64
-	// MaxHeader bounds the bytes of a request header.
+	// MaxHeader is the maximum size of a request's target and header in bytes.
 	MaxHeader int
-	// MaxConnections bounds the callers' connections.
+	// MaxConnections is the maximum number of open connections of callers.
 	MaxConnections int
-	// MaxMemory bounds the bytes of all bodies and unfinished answers together.
+	// MaxMemory is the maximum total size in bytes of all bodies and unfinished responses.
 	MaxMemory int64
-	// HeaderTimeout bounds the time in which a header arrives.
+	// HeaderTimeout is the maximum time for receiving a request header.
 	HeaderTimeout time.Duration
-	// BodyTimeout bounds the time in which a body arrives.
+	// BodyTimeout is the maximum time for receiving a request body.
 	BodyTimeout time.Duration
-	// WriteTimeout bounds the time that one write of an answer may take.
+	// WriteTimeout is the maximum time for one write of a response.
 	WriteTimeout time.Duration
-	// IdleTimeout bounds the time that a connection is kept without a request.
+	// IdleTimeout is the maximum time that a connection is kept open without a request.
 	IdleTimeout time.Duration
-	// DefaultTimeout is the deadline of a request that names none.
+	// DefaultTimeout is the timeout of a request if neither the caller nor the route names one.
 	DefaultTimeout time.Duration
-	// MaxTimeout bounds the deadline that a caller may name.
+	// MaxTimeout is the maximum timeout of a request. Longer ones are reduced to it.
 	MaxTimeout time.Duration
 }
 
-// DefaultLimits suit a small VM.
+// DefaultLimits returns limits for a small VM.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxBody:        4 << 20,
@@ -51,10 +51,11 @@
 	}
 }
 
-// memoryRetryAfter is when a caller is told to come back if there is no memory for its request.
+// memoryRetryAfter is the Retry-After value sent if there is no memory for a request.
 const memoryRetryAfter = time.Second
 
-// readBody reads the request's body. The memory that it takes, held, is given back by the caller.
+// readBody reads the request's body. It reserves held bytes of the memory budget; its caller must release
+// them, also after an error.
 func (h *Handler) readBody(w *writer, r *http.Request) (body []byte, held int64, e *result.Error) {
 	if r.ContentLength > h.limits.MaxBody {
 		return nil, 0, result.New(result.BodyTooLarge, "the body is too large")
@@ -65,7 +66,7 @@
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, 0, nil
 	}
-	// A connection without deadlines is a test's recorder.
+	// The error is ignored: only the response recorders of tests lack deadlines.
 	_ = w.control.SetReadDeadline(time.Now().Add(h.limits.BodyTimeout))
 	body, held, err := h.memory.ReadAll(r.Body, r.ContentLength, h.limits.MaxBody)
 	_ = w.control.SetReadDeadline(time.Time{})
@@ -84,14 +85,16 @@
 	return nil, held, e
 }
 
-// NewHTTPServer returns the server of the callers' connections. It is served on a listener of callers.Limit.
+// NewHTTPServer returns the HTTP server for callers' connections. It is to be served on a listener made by
+// callers.Limit, which bounds their number.
 func NewHTTPServer(h *Handler, tlsConfig *tls.Config) *http.Server {
 	return &http.Server{
 		Handler:           h,
 		TLSConfig:         tlsConfig,
 		ReadHeaderTimeout: h.limits.HeaderTimeout,
 		IdleTimeout:       h.limits.IdleTimeout,
-		// The handler refuses smaller headers with a result code; net/http cuts off the larger ones.
+		// Headers over MaxHeader up to this size are refused by the handler with a result code. net/http
+		// itself rejects larger ones, without a result code.
 		MaxHeaderBytes: 2 * h.limits.MaxHeader,
 		ErrorLog:       h.errorLog(),
 	}
--- a/pkg/entry/limits_test.go
+++ b/pkg/entry/limits_test.go
@@ -15,8 +15,9 @@
 	"github.com/mallowlink/mallowlink/pkg/result"
 )
 
-// exchangeRaw sends raw bytes and returns the answer.
-func (s *site) exchangeRaw(t *testing.T, raw string, halfClose bool) (*http.Response, string) {
+// exchangeRaw sends raw bytes on a new connection and returns the response. halfClose ends the sending side
+// after them.
+func (s *testbed) exchangeRaw(t *testing.T, raw string, halfClose bool) (*http.Response, string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.Listener.Addr().String())
 	require.NoError(t, err)
@@ -35,8 +36,10 @@
 
 const issueHead = "POST /issues HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + testKey + "\r\n"
 
-func TestBodiesThatDoNotArrive(t *testing.T) {
-	s := newSite(t, threePieces)
+// TestIncompleteBodies checks that a caller that stops sending in the middle of a body, or closes its side of
+// the connection, gets an error and that the memory for the body is released.
+func TestIncompleteBodies(t *testing.T) {
+	s := newTestbed(t, threeEvents)
 	s.handler.limits.BodyTimeout = 50 * time.Millisecond
 	for name, halfClose := range map[string]bool{"slow": false, "half-closed": true} {
 		t.Run(name, func(t *testing.T) {
@@ -51,7 +54,7 @@
 }
 
 func TestEndlessChunkedBody(t *testing.T) {
-	s := newSite(t, threePieces)
+	s := newTestbed(t, threeEvents)
 	s.handler.limits.MaxBody = 10_000
 	chunk := fmt.Sprintf("%x\r\n%s\r\n", 20_000, strings.Repeat("x", 20_000))
 	res, _ := s.exchangeRaw(t, issueHead+"Transfer-Encoding: chunked\r\n\r\n"+chunk, false)
@@ -59,7 +62,7 @@
 }
 
 func TestMemoryLimit(t *testing.T) {
-	s := newSite(t, threePieces)
+	s := newTestbed(t, threeEvents)
 	s.handler.memory.SetLimit(100)
 	status, body, header := s.do(t, "POST", "/issues", "x", nil)
 	require.Equal(t, http.StatusServiceUnavailable, status)
@@ -75,7 +78,7 @@
 		sink := newWriter(w, "id", 20*time.Millisecond)
 		err := sink.Answer(http.StatusOK, nil, make([]byte, 1<<20))
 		if err == nil {
-			t.Error("a caller that does not read holds the answer for ever")
+			t.Error("the write did not time out although the caller does not read")
 		}
 	})
 	done := make(chan struct{})
@@ -84,17 +87,17 @@
 			close(done)
 		}
 	}}
-	go srv.Serve(&oneListener{conn: server})
+	go srv.Serve(&singleConnListener{conn: server})
 	_, err := io.WriteString(client, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	require.NoError(t, err)
 	<-done
 	require.NoError(t, srv.Close())
 }
 
-// oneListener accepts one connection.
-type oneListener struct{ conn net.Conn }
+// singleConnListener is a net.Listener that accepts one given connection.
+type singleConnListener struct{ conn net.Conn }
 
-func (l *oneListener) Accept() (net.Conn, error) {
+func (l *singleConnListener) Accept() (net.Conn, error) {
 	conn := l.conn
 	l.conn = nil
 	if conn == nil {
@@ -103,5 +106,5 @@
 	return conn, nil
 }
 
-func (l *oneListener) Close() error   { return nil }
-func (l *oneListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *singleConnListener) Close() error   { return nil }
+func (l *singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
--- a/pkg/entry/metrics.go
+++ b/pkg/entry/metrics.go
@@ -6,12 +6,12 @@
 	"github.com/mallowlink/mallowlink/pkg/result"
 )
 
-// Names of the metrics.
+// Names of the metrics that a Handler registers.
 const (
 	MetricRefused    = "entry.refused"
 	MetricKeyRefused = "entry.key_refused"
 	MetricMemoryUsed = "entry.memory_used"
-	// MetricResult is followed by the name of the result code that a request ended with.
+	// MetricResult is the prefix of the counters per result code; the name of the code follows it.
 	MetricResult = "entry.results."
 )
 
@@ -21,7 +21,7 @@
 	registry   metrics.Registry
 }
 
-// result returns the counter of the requests that ended with the code.
+// result returns the counter of requests that ended with the given result code.
 func (c counters) result(code result.Code) metrics.Counter {
 	return metrics.GetOrRegisterCounter(MetricResult+code.Name(), c.registry)
 }
--- a/pkg/entry/model.go
+++ b/pkg/entry/model.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// bytesPerToken estimates the prompt's tokens from its length.
+	// bytesPerToken is used to estimate a prompt's number of tokens from its length in bytes.
 	bytesPerToken = 4
-	// defaultAnswerTokens is the upper bound of an answer if neither caller nor model names one.
-	defaultAnswerTokens = 1024
-	// maxAnswerTokens bounds the answers of a model that names no bound.
-	maxAnswerTokens = 1 << 20
-	// maxChoices bounds the answers that one request may ask for.
+	// defaultOutputTokens is the upper bound of a response's tokens if neither caller nor model names one.
+	defaultOutputTokens = 1024
+	// maxOutputTokens is the upper bound of a response's tokens for models that name none.
+	maxOutputTokens = 1 << 20
+	// maxChoices is the maximum number of completions that one request may ask for.
 	maxChoices = 128
 )
 
-// Priorities that model engines get; lower numbers run first.
+// Priorities sent to model engines; lower numbers run first.
 const (
 	priorityInteractive = 0
 	priorityBatch       = 1
 )
 
-func (h *Handler) chat(x *exchange) *result.Error { return h.complete(x, "messages") }
+func (h *Handler) chatCompletion(x *exchange) *result.Error { return h.complete(x, "messages") }
 
-func (h *Handler) text(x *exchange) *result.Error { return h.complete(x, "prompt") }
+func (h *Handler) textCompletion(x *exchange) *result.Error { return h.complete(x, "prompt") }
 
-// complete answers a request to a model engine. promptField names the body's field with the prompt.
+// complete handles a request to a model engine. promptField is the name of the body's field that holds the prompt.
 func (h *Handler) complete(x *exchange, promptField string) *result.Error {
 	if e := x.requireAccount(); e != nil {
 		return e
@@ -46,7 +46,7 @@
 	if e != nil {
 		return e
 	}
-	body, e = x.credentials.body(body, x.r.Header.Get("Content-Type"))
+	body, e = x.credentials.redactBody(body, x.r.Header.Get("Content-Type"))
 	if e != nil {
 		return e
 	}
@@ -59,20 +59,20 @@
 		return e
 	}
 	x.w.Header().Set(HeaderAdapter, call.Adapter.String())
-	x.w.engine = true
+	x.w.fromEngine = true
 	h.run(x, call)
 	return nil
 }
 
-// completion is the part of a body that mallowlink reads. fields holds all of it.
+// completion is a parsed request body. fields holds all its fields, the others those that mallowlink uses.
 type completion struct {
 	fields map[string]json.RawMessage
 	model  string
 	prompt json.RawMessage
 	stream bool
-	// bound is the tokens of one answer that the caller asks for at most; 0 if it does not say.
-	bound   int64
-	choices int64
+	// maxTokens is the caller's upper bound for the tokens of one completion; 0 if it names none.
+	maxTokens int64
+	choices   int64
 }
 
 func parseCompletion(body []byte, promptField string) (completion, *result.Error) {
@@ -80,7 +80,7 @@
 	if err := json.Unmarshal(body, &c.fields); err != nil || c.fields == nil {
 		return c, malformed("the body is not a JSON object")
 	}
-	if !c.read("model", &c.model) || c.model == "" {
+	if !c.decodeField("model", &c.model) || c.model == "" {
 		return c, malformed("model must be a string")
 	}
 	c.prompt = c.fields[promptField]
@@ -90,32 +90,33 @@
 	if promptField == "messages" && c.prompt[0] != '[' {
 		return c, malformed("messages must be an array")
 	}
-	if !c.read("stream", &c.stream) {
+	if !c.decodeField("stream", &c.stream) {
 		return c, malformed("stream must be true or false")
 	}
-	if !c.read("n", &c.choices) || c.choices < 1 || c.choices > maxChoices {
+	if !c.decodeField("n", &c.choices) || c.choices < 1 || c.choices > maxChoices {
 		return c, malformed("n is out of range")
 	}
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
 		var bound int64
-		if !c.read(name, &bound) || bound < 0 {
+		if !c.decodeField(name, &bound) || bound < 0 {
 			return c, malformed(name + " must be a positive number")
 		}
-		c.bound = max(c.bound, bound)
+		c.maxTokens = max(c.maxTokens, bound)
 	}
 	return c, nil
 }
 
-// read decodes a field if it is there. It reports false if the field is of another type.
-func (c *completion) read(name string, into any) bool {
+// decodeField decodes a field if it is present. It reports false if the field has the wrong type.
+func (c *completion) decodeField(name string, into any) bool {
 	raw, ok := c.fields[name]
 	return !ok || json.Unmarshal(raw, into) == nil
 }
 
 func malformed(detail string) *result.Error { return result.New(result.MalformedBody, detail) }
 
-// forward returns the body that the engine gets: with the adapter version and the answer's bound.
-func (c *completion) forward(adapter endpoint.AdapterVersion, bound int64) ([]byte, *result.Error) {
+// engineBody returns the body to send to the engine, with the adapter version as the model and the given upper
+// bound of output tokens.
+func (c *completion) engineBody(adapter endpoint.AdapterVersion, bound int64) ([]byte, *result.Error) {
 	model, _ := json.Marshal(adapter.String())
 	limit, _ := json.Marshal(bound)
 	c.fields["model"] = model
@@ -132,7 +133,7 @@
 	return body, nil
 }
 
-// engineCall turns the request into a call of a model engine.
+// engineCall checks the request and returns the call to a model engine.
 func (h *Handler) engineCall(x *exchange, c completion) (*request.Call, *result.Error) {
 	adapter, version, ok := x.index.resolve(c.model)
 	if !ok {
@@ -154,8 +155,8 @@
 		return nil, e
 	}
 	model := x.index.bundle.Models[adapter.Model]
-	bound := answerBound(c.bound, int64(model.MaxTokens))
-	body, e := c.forward(version, bound)
+	bound := outputTokenLimit(c.maxTokens, int64(model.MaxTokens))
+	body, e := c.engineBody(version, bound)
 	if e != nil {
 		return nil, e
 	}
@@ -177,20 +178,20 @@
 	return call, nil
 }
 
-// answerBound returns the upper bound of an answer's tokens: the caller's, within the model's.
-func answerBound(asked, model int64) int64 {
+// outputTokenLimit returns the upper bound of a response's tokens: the caller's bound, limited by the model's.
+func outputTokenLimit(asked, model int64) int64 {
 	switch {
 	case asked <= 0 && model <= 0:
-		return defaultAnswerTokens
+		return defaultOutputTokens
 	case asked <= 0:
 		return model
 	case model <= 0:
-		return min(asked, maxAnswerTokens)
+		return min(asked, maxOutputTokens)
 	}
 	return min(asked, model)
 }
 
-// engineHeader returns all the header that an engine gets: nothing of the caller's.
+// engineHeader returns the complete header sent to an engine. No header field of the caller is forwarded.
 func engineHeader(stream bool) http.Header {
 	header := http.Header{}
 	header.Set("Content-Type", "application/json")
@@ -201,7 +202,8 @@
 	return header
 }
 
-// prefixHash returns the hash of the first n bytes of the prompt; 0 means no affinity.
+// prefixHash returns the hash of the first n bytes of the prompt, by which requests with the same prefix go
+// to the same engine. 0 means no such affinity.
 func prefixHash(prompt []byte, n int) uint64 {
 	if n <= 0 {
 		return 0
@@ -221,7 +223,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// ownedBy names the owner in the list of models, which OpenAI's shape asks for.
+// ownedBy is the owner in the list of models, a field that OpenAI's format requires.
 const ownedBy = "mallowlink"
 
 // models lists the adapters and versions that the caller's client account may use.
@@ -245,7 +247,7 @@
 		return result.New(result.Internal, "the list could not be written")
 	}
 	x.w.Header().Set("Content-Type", "application/json")
-	// A caller that is gone needs no answer.
+	// The error is ignored: the caller has disconnected or does not read.
 	_ = x.w.respond(http.StatusOK, body)
 	return nil
 }
--- a/pkg/entry/service.go
+++ b/pkg/entry/service.go
@@ -13,10 +13,10 @@
 	"github.com/mallowlink/mallowlink/pkg/suspect"
 )
 
-// maxIdempotencyKey bounds the length of an Idempotency-Key.
+// maxIdempotencyKey is the maximum length of an Idempotency-Key in bytes.
 const maxIdempotencyKey = 255
 
-// service answers a request to a plain service by a route of the bundle.
+// service handles a request to a plain service, by a route of the bundle.
 func (h *Handler) service(x *exchange) *result.Error {
 	route, ok, wrongMethod := x.index.match(x.r)
 	if wrongMethod {
@@ -26,10 +26,10 @@
 	if !ok {
 		return result.New(result.UnknownRoute, "no route has this path")
 	}
-	if e := x.allowed(route); e != nil {
+	if e := x.authorizeRoute(route); e != nil {
 		return e
 	}
-	if slices.ContainsFunc(strings.Split(x.r.URL.Path, "/"), x.credentials.in) {
+	if slices.ContainsFunc(strings.Split(x.r.URL.Path, "/"), x.credentials.foundIn) {
 		return result.New(result.UnknownRoute, "the path holds a key")
 	}
 	body, held, e := h.readBody(x.w, x.r)
@@ -37,7 +37,7 @@
 	if e != nil {
 		return e
 	}
-	body, e = x.credentials.body(body, x.r.Header.Get("Content-Type"))
+	body, e = x.credentials.redactBody(body, x.r.Header.Get("Content-Type"))
 	if e != nil {
 		return e
 	}
@@ -49,9 +49,9 @@
 	return nil
 }
 
-// allowed checks the key on a keyed route. On an open route the account is dropped: the request
-// runs for nobody.
-func (x *exchange) allowed(route bundle.Route) *result.Error {
+// authorizeRoute checks that the caller's account may use the route. An open route needs no key; the account is
+// cleared there, so the request runs for no account.
+func (x *exchange) authorizeRoute(route bundle.Route) *result.Error {
 	if route.Open {
 		x.account = ""
 		return nil
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// serviceCall turns the request into a call of a plain service.
+// serviceCall checks the request and returns the call to a plain service.
 func (h *Handler) serviceCall(x *exchange, route bundle.Route, body []byte) (*request.Call, *result.Error) {
 	class, e := x.class(route.Class)
 	if e != nil {
@@ -90,17 +90,17 @@
 	call.Tokens = route.Cost
 	call.Idempotent = route.Idempotent
 	call.IdempotencyKey = name
-	call.Endpoint.Header = x.credentials.header(x.r.Header)
+	call.Endpoint.Header = x.credentials.redactHeader(x.r.Header)
 	if route.Open {
 		call.Authorized = func() bool { return true }
 	}
 	return call, nil
 }
 
-// target returns the path and query that the service gets.
+// target returns the path and query to send to the service, without keys in the query.
 func target(x *exchange) string {
 	path := x.r.URL.EscapedPath()
-	if query := x.credentials.query(x.r.URL.RawQuery); query != "" {
+	if query := x.credentials.redactQuery(x.r.URL.RawQuery); query != "" {
 		path += "?" + query
 	}
 	return path
@@ -117,7 +117,7 @@
 	return values[0], nil
 }
 
-// newCall returns the part of a call that is the same for engines and services.
+// newCall returns a call with the fields that are common to engines and services.
 func (h *Handler) newCall(x *exchange, target string, body []byte) *request.Call {
 	sum := suspect.Hash(x.r.Method, target, body)
 	weight := x.index.bundle.Accounts[x.account].Weight
@@ -131,7 +131,7 @@
 		BodyHash:     hex.EncodeToString(sum[:]),
 		Fingerprint:  suspect.Fingerprint(x.account, sum),
 		RetryPercent: x.index.bundle.Fleet.RetryPercent,
-		Authorized:   h.authorized(x),
+		Authorized:   h.authorizer(x),
 		Endpoint: endpoint.Request{
 			ID:       x.w.id,
 			Method:   x.r.Method,
@@ -142,5 +142,5 @@
 	}
 }
 
-// defaultWeight is the weight of an account that names none, and of open routes.
+// defaultWeight is the weight of accounts that have none configured, and of requests on open routes.
 const defaultWeight = 1
--- a/pkg/entry/writer.go
+++ b/pkg/entry/writer.go
@@ -10,21 +10,21 @@
 	"github.com/mallowlink/mallowlink/pkg/result"
 )
 
-// writer writes one answer. Each write has a deadline, so that a caller that does not read holds
-// the connection for a bounded time. It is the request.Sink of the request.
+// writer writes the response to one request; it implements request.Sink. Each write has a deadline, so that
+// a caller that does not read holds the connection for a bounded time.
 type writer struct {
 	http.ResponseWriter
 	control *http.ResponseController
 	timeout time.Duration
 	id      string
-	// begun says that the head of a stream is written.
-	begun bool
-	// done says that an answer or an end marker is written.
+	// streamStarted reports that the status and header of a stream are written.
+	streamStarted bool
+	// done reports that a whole response or the end of a stream is written.
 	done bool
-	// engine says that a model engine answers: streams end with OpenAI's end marker, and of the
-	// engine's header the caller gets the content type only.
-	engine bool
-	buf    bytes.Buffer
+	// fromEngine reports that the response comes from a model engine: streams end with OpenAI's end
+	// marker, and of the engine's header only the content type is passed on.
+	fromEngine bool
+	buf        bytes.Buffer
 }
 
 func newWriter(w http.ResponseWriter, id string, timeout time.Duration) *writer {
@@ -32,13 +32,14 @@
 	return &writer{ResponseWriter: w, control: http.NewResponseController(w), timeout: timeout, id: id}
 }
 
-// extend gives the next write its time. A connection without deadlines is a test's recorder.
-func (w *writer) extend() { _ = w.control.SetWriteDeadline(time.Now().Add(w.timeout)) }
+// extendDeadline sets the deadline of the next write. The error is ignored: only the response recorders of
+// tests lack deadlines.
+func (w *writer) extendDeadline() { _ = w.control.SetWriteDeadline(time.Now().Add(w.timeout)) }
 
-// respond writes a whole answer.
+// respond writes a whole response.
 func (w *writer) respond(status int, body []byte) error {
 	w.done = true
-	w.extend()
+	w.extendDeadline()
 	w.WriteHeader(status)
 	if len(body) == 0 {
 		return nil
@@ -47,7 +48,7 @@
 	return err
 }
 
-// Answer writes a whole answer of an endpoint.
+// Answer writes an endpoint's whole response.
 func (w *writer) Answer(status int, header http.Header, body []byte) error {
 	w.copyHeader(header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -57,61 +58,62 @@
 	return w.control.Flush()
 }
 
-// copyHeader takes over the endpoint's header, but for hop-by-hop fields and those of mallowlink.
+// copyHeader copies the endpoint's header to the response, except hop-by-hop fields and fields that
+// mallowlink sets itself.
 func (w *writer) copyHeader(header http.Header) {
 	for name, values := range httpheader.StripHopByHop(header) {
 		if name == "Content-Length" || name == HeaderRequest || name == HeaderAdapter {
 			continue
 		}
-		if w.engine && name != "Content-Type" {
+		if w.fromEngine && name != "Content-Type" {
 			continue
 		}
 		w.Header()[name] = values
 	}
 }
 
-// Begin writes the head of a stream.
+// Begin writes the status and header of a stream of server-sent events.
 func (w *writer) Begin(status int, header http.Header) error {
 	w.copyHeader(header)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
-	w.begun = true
-	w.extend()
+	w.streamStarted = true
+	w.extendDeadline()
 	w.WriteHeader(status)
 	return nil
 }
 
 // Event writes one server-sent event.
 func (w *writer) Event(data []byte) error {
-	return w.send("", data)
+	return w.writeEvent("", data)
 }
 
-// Finish writes the end marker.
+// Finish ends a stream. Streams of model engines get OpenAI's end marker.
 func (w *writer) Finish() error {
 	w.done = true
-	if !w.engine {
+	if !w.fromEngine {
 		return w.control.Flush()
 	}
-	return w.send("", endMarker)
+	return w.writeEvent("", streamEndMarker)
 }
 
-var endMarker = []byte("[DONE]")
+var streamEndMarker = []byte("[DONE]")
 
-// errorEvent is the name of the event that ends a stream which is not whole.
+// errorEvent is the name of the event that ends an incomplete stream.
 const errorEvent = "error"
 
-func (w *writer) send(name string, data []byte) error {
+func (w *writer) writeEvent(name string, data []byte) error {
 	w.buf.Reset()
 	appendEvent(&w.buf, name, data)
-	w.extend()
+	w.extendDeadline()
 	if _, err := w.Write(w.buf.Bytes()); err != nil {
 		return err
 	}
 	return w.control.Flush()
 }
 
-// appendEvent appends a server-sent event. Line ends within data begin new data fields, so that no
-// data can end the event or forge another field.
+// appendEvent appends a server-sent event. Each line of data is written as a data field of its own, so that
+// data can neither end the event nor inject another field.
 func appendEvent(b *bytes.Buffer, name string, data []byte) {
 	if name != "" {
 		b.WriteString("event: ")
@@ -131,7 +133,7 @@
 	b.WriteByte('\n')
 }
 
-// cutLine splits data at its first line end: LF, CR or CRLF.
+// cutLine splits data at its first line break: LF, CR or CRLF.
 func cutLine(data []byte) (line, rest []byte, more bool) {
 	i := bytes.IndexAny(data, "\r\n")
 	if i < 0 {
@@ -144,15 +146,16 @@
 	return data[:i], data[next:], true
 }
 
-// fail ends the answer with the error: as an answer of its own, or as the last event of a stream.
+// fail reports the error to the caller: as the whole response, or as the last event of a stream that has
+// begun. It does nothing if the response is already complete.
 func (w *writer) fail(e *result.Error) {
 	switch {
 	case w.done:
 		return
-	case w.begun:
+	case w.streamStarted:
 		w.done = true
-		// A caller that is gone cannot be told.
-		_ = w.send(errorEvent, errorJSON(e, w.id))
+		// The error is ignored: the caller has disconnected or does not read.
+		_ = w.writeEvent(errorEvent, errorJSON(e, w.id))
 	default:
 		writeError(w, e)
 	}
--- a/pkg/httpheader/hopbyhop.go
+++ b/pkg/httpheader/hopbyhop.go
@@ -1,4 +1,4 @@
-// Package httpheader holds what RFC 9110 says of header fields.
+// Package httpheader removes hop-by-hop header fields as RFC 9110 requires, and measures request headers.
 package httpheader
 
 import (
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// hopByHop lists the fields that RFC 9110, section 7.6.1, and older practice confine to one
-// connection. Expect is answered by each hop.
+// hopByHop lists the fields that apply to one connection only, by RFC 9110, section 7.6.1, or by older
+// practice. Expect is among them because each hop answers it itself.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Proxy-Authenticate", "Proxy-Authorization", "Proxy-Authentication-Info",
 	"Expect",
 }
 
-// StripHopByHop returns a copy of the header without hop-by-hop fields, also those that the
-// Connection field names. Of an answer that also has the connection closed, net/http removes the
-// Connection field before anyone sees it, so the fields that it named beside "close" are kept.
+// StripHopByHop returns a copy of the header without hop-by-hop fields, including those that the
+// Connection field names. If a response also closes the connection, net/http removes its Connection
+// field before callers of net/http can read it, so fields that it named besides "close" are kept.
 func StripHopByHop(header http.Header) http.Header {
 	out := make(http.Header, len(header))
 	for name, values := range header {
@@ -35,7 +35,7 @@
 	return out
 }
 
-// Size returns the bytes of a request's target and of its header fields, without what separates them.
+// Size returns the size in bytes of a request's target and of its header names and values, without separators.
 func Size(r *http.Request) int {
 	size := len(r.RequestURI)
 	for name, values := range r.Header {
