--- a/pkg/entry/writer.go
+++ b/pkg/entry/writer.go
@@ -58,8 +58,8 @@
 	return w.control.Flush()
 }
 
-// copyHeader copies the endpoint's header to the response, except hop-by-hop fields and fields that
-// mallowlink sets itself.
+// copyHeader copies the endpoint's header to the response, except hop-by-hop fields and the fields
+// Content-Length, HeaderRequest and HeaderAdapter, which mallowlink sets itself.
 func (w *writer) copyHeader(header http.Header) {
 	for name, values := range httpheader.StripHopByHop(header) {
 		if name == "Content-Length" || name == HeaderRequest || name == HeaderAdapter {
