--- a/pkg/owner/attempt.go
+++ b/pkg/owner/attempt.go
@@ -10,22 +10,25 @@
 	"github.com/mallowlink/mallowlink/pkg/work"
 )
 
-// attempt is one attempt that this VM queues, runs or has ended.
+// attempt is one attempt at a request, from its arrival at the group's owner until its outcome expires.
+// Its states are defined in attempt.chart.
 type attempt struct {
 	req      *work.Request
 	log      *eventLog
 	arrived  time.Time
 	deadline time.Time
-	// ctx ends when the attempt is cancelled; cancel ends it.
+	// ctx ends when the attempt ends or is withdrawn; cancel ends it.
 	ctx    context.Context
 	cancel context.CancelFunc
 
+	// mu guards the fields below.
 	mu      sync.Mutex
 	machine *chart.Machine
 	outcome result.Outcome
-	// endpoint runs the attempt, while its state is running.
+	// endpoint is the name of the endpoint that the attempt was last dispatched to. It is empty before
+	// the first dispatch and after a return to the queue.
 	endpoint string
-	// polled is when the entry last asked for events.
+	// polled is when the entry VM (the VM that received the request) last polled for events.
 	polled  time.Time
 	endedAt time.Time
 }
@@ -44,22 +47,22 @@
 	}
 }
 
-// newTombstone returns a withdrawn attempt that has not arrived yet.
+// newTombstone returns an attempt in state withdrawn. It stands for an attempt whose Withdraw arrived
+// before its Submit.
 func newTombstone(now time.Time) *attempt {
 	a := newAttempt(&work.Request{}, now)
 	a.withdraw(now)
 	return a
 }
 
-// state returns the attempt's state.
 func (a *attempt) state() chart.State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.machine.State()
 }
 
-// dispatched moves a queued attempt to running. It reports false if the attempt is not queued.
-func (a *attempt) dispatched(endpoint string) bool {
+// markRunning moves a queued attempt to running. It reports false if the attempt is not queued.
+func (a *attempt) markRunning(endpoint string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.machine.State() != stateQueued || a.machine.Fire(eventDispatch) != nil {
@@ -69,8 +72,9 @@
 	return true
 }
 
-// returned moves a running attempt that the endpoint did not run back to queued.
-func (a *attempt) returned() bool {
+// markQueued moves a running attempt back to queued because the endpoint did not run it. It reports false if
+// the attempt is not running.
+func (a *attempt) markQueued() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.machine.State() != stateRunning || a.machine.Fire(eventReturn) != nil {
@@ -80,7 +84,8 @@
 	return true
 }
 
-// withdraw ends the attempt if it has not started, and returns what is known of it.
+// withdraw ends the attempt if it is still queued. It returns whether the attempt has run, as far as
+// this VM knows.
 func (a *attempt) withdraw(now time.Time) result.Outcome {
 	a.mu.Lock()
 	before := a.machine.State()
@@ -106,7 +111,7 @@
 	return work.Event{Kind: work.Failed, Failure: failure}
 }
 
-// end closes the attempt with its last event. Only the first call has an effect.
+// end ends the attempt and appends its last event. Only the first call has an effect.
 func (a *attempt) end(now time.Time, last work.Event) {
 	a.mu.Lock()
 	if a.machine.Done() {
@@ -129,7 +134,7 @@
 	a.end(now, work.Event{Kind: work.Failed, Failure: failure})
 }
 
-// refuse ends an attempt that has not run.
+// refuse ends an attempt that has not run, with the code, outcome, retry delay and detail of err.
 func (a *attempt) refuse(now time.Time, err *result.Error) {
 	a.fail(now, &work.Failure{
 		Code:       err.Code,
@@ -139,14 +144,14 @@
 	})
 }
 
-// touch records that the entry asked for events.
-func (a *attempt) touch(now time.Time) {
+// recordPoll records that the entry VM polled for events.
+func (a *attempt) recordPoll(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.polled = now
 }
 
-// times returns when the entry last asked and when the attempt ended (zero if it has not).
+// times returns when the entry VM last polled and when the attempt ended (zero if it has not).
 func (a *attempt) times() (polled, ended time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/pkg/owner/attempts.go
+++ b/pkg/owner/attempts.go
@@ -9,29 +9,31 @@
 )
 
 const (
-	// outcomeRetention is how long an ended attempt's outcome is kept beyond its deadline. Within it
-	// a late Submit or Withdraw of the same attempt is answered truthfully.
+	// outcomeRetention is how long an attempt is kept after its end or its deadline, whichever is later, so that a
+	// late Submit or Withdraw of the same attempt gets its true outcome.
 	outcomeRetention = work.RetainEnded
-	// answerRetention is how long the events of an ended attempt wait for an entry that is silent.
-	answerRetention = time.Minute
-	// abandonTimeout is how long an idempotent attempt runs on without its entry asking for events.
+	// eventRetention is how long the events of an ended attempt are kept after the entry VM's last poll.
+	eventRetention = time.Minute
+	// abandonTimeout is how long an idempotent attempt keeps running after the entry VM's last poll.
 	abandonTimeout = 15 * time.Second
-	// settleTime is how long after an entry's last call the reply counts as under way.
-	settleTime = time.Second
+	// replyGracePeriod is how long after the entry VM's last poll the reply may still be in transit to it.
+	replyGracePeriod = time.Second
 )
 
-// attempts is the table of the attempts that this VM knows. It is safe for concurrent use.
-type attempts struct {
+// attemptTable holds the attempts that were submitted to this VM or withdrawn at it, until they expire. It is
+// safe for concurrent use.
+type attemptTable struct {
 	mu sync.Mutex
 	m  map[work.AttemptID]*attempt
 }
 
-func newAttempts() *attempts {
-	return &attempts{m: map[work.AttemptID]*attempt{}}
+func newAttemptTable() *attemptTable {
+	return &attemptTable{m: map[work.AttemptID]*attempt{}}
 }
 
-// add stores a new attempt, or returns the known one with fresh false.
-func (t *attempts) add(req *work.Request, now time.Time) (a *attempt, fresh bool) {
+// add stores a new attempt. If the table already has one with this ID, that one is returned and added
+// is false.
+func (t *attemptTable) add(req *work.Request, now time.Time) (a *attempt, added bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known, ok := t.m[req.ID]
@@ -43,16 +45,16 @@
 	return a, true
 }
 
-func (t *attempts) get(id work.AttemptID) (*attempt, bool) {
+func (t *attemptTable) get(id work.AttemptID) (*attempt, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a, ok := t.m[id]
 	return a, ok
 }
 
-// getOrTombstone returns the attempt; one that has not arrived is stored as withdrawn, so that it
-// is refused when it arrives.
-func (t *attempts) getOrTombstone(id work.AttemptID, now time.Time) *attempt {
+// getOrTombstone returns the attempt. If it has not arrived, a withdrawn attempt is stored in its place,
+// so that a later Submit is refused.
+func (t *attemptTable) getOrTombstone(id work.AttemptID, now time.Time) *attempt {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a, ok := t.m[id]
@@ -64,7 +66,7 @@
 }
 
 // open returns the attempts that have not ended.
-func (t *attempts) open() []*attempt {
+func (t *attemptTable) open() []*attempt {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []*attempt
@@ -76,23 +78,24 @@
 	return list
 }
 
-// busy returns the number of attempts that have not ended or whose entry may
-// still be waiting for the last reply.
-func (t *attempts) busy(now time.Time) int {
+// busy returns the number of attempts that have not ended or whose entry VM may still be waiting for the
+// last events.
+func (t *attemptTable) busy(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
 	for _, a := range t.m {
 		polled, ended := a.times()
-		if ended.IsZero() || now.Sub(polled) < settleTime || (a.log.undelivered() && now.Sub(polled) < abandonTimeout) {
+		if ended.IsZero() || now.Sub(polled) < replyGracePeriod || (a.log.undelivered() && now.Sub(polled) < abandonTimeout) {
 			n++
 		}
 	}
 	return n
 }
 
-// sweep forgets what is past its retention and cancels idempotent attempts whose entry is silent.
-func (t *attempts) sweep(now time.Time) {
+// sweep removes expired attempts and events, and ends idempotent attempts whose entry VM has stopped
+// polling.
+func (t *attemptTable) sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, a := range t.m {
@@ -103,13 +106,13 @@
 		case ended.IsZero():
 		case now.Sub(ended) > outcomeRetention && now.Sub(a.deadline) > outcomeRetention:
 			delete(t.m, id)
-		case now.Sub(polled) > answerRetention:
+		case now.Sub(polled) > eventRetention:
 			a.log.clear()
 		}
 	}
 }
 
-// abandon ends an idempotent attempt whose entry is silent.
+// abandon ends an idempotent attempt that nobody waits for any more.
 func abandon(a *attempt, now time.Time) {
 	if a.withdraw(now) == result.NotRun {
 		return
--- a/pkg/owner/chart.go
+++ b/pkg/owner/chart.go
@@ -6,7 +6,7 @@
 	"github.com/mallowlink/mallowlink/pkg/chart"
 )
 
-// States of an attempt.
+// States of an attempt, as in attempt.chart.
 const (
 	stateQueued    chart.State = "queued"
 	stateRunning   chart.State = "running"
@@ -14,7 +14,7 @@
 	stateEnded     chart.State = "ended"
 )
 
-// Events of an attempt.
+// Events that change an attempt's state, as in attempt.chart.
 const (
 	eventDispatch chart.Event = "dispatch"
 	eventReturn   chart.Event = "return"
@@ -31,5 +31,5 @@
 	[]chart.Event{eventDispatch, eventReturn, eventWithdraw, eventEnd},
 )
 
-// Charts returns the charts that this package interprets.
+// Charts returns the state charts that this package runs.
 func Charts() []*chart.Chart { return []*chart.Chart{attemptChart} }
--- a/pkg/owner/directory.go
+++ b/pkg/owner/directory.go
@@ -7,7 +7,7 @@
 	"github.com/mallowlink/mallowlink/pkg/work"
 )
 
-// Directory implements work.Directory by the holders of the groups' leases.
+// Directory implements work.Directory: the owner of a group is the process that holds its lease.
 type Directory struct {
 	vm          string
 	incarnation string
@@ -16,8 +16,8 @@
 	caller      peer.Caller
 }
 
-// NewDirectory returns a directory for the VM with the given identity. Groups that it holds itself
-// are served by local, without a call.
+// NewDirectory returns a directory for the process with the given VM name and incarnation. For groups
+// that this process owns itself, OwnerOf returns local, which needs no network call.
 func NewDirectory(vm, incarnation string, local work.Owner, lessor lease.Lessor, caller peer.Caller) *Directory {
 	return &Directory{vm: vm, incarnation: incarnation, local: local, lessor: lessor, caller: caller}
 }
@@ -27,7 +27,7 @@
 	holder, ok := d.lessor.HolderOf(lease.GroupPrefix + group)
 	if !ok {
 		err := result.New(result.NoOwner, "no VM owns group "+group)
-		err.RetryAfter = noOwnerRetry
+		err.RetryAfter = noOwnerRetryAfter
 		return "", nil, err
 	}
 	name := holder.VM + "/" + holder.Incarnation
--- a/pkg/owner/dispatch.go
+++ b/pkg/owner/dispatch.go
@@ -16,50 +16,54 @@
 )
 
 const (
-	// maxResumes bounds how often one attempt's stream is resumed after a cut.
+	// maxResumes bounds how often one attempt's stream is resumed after its connection broke.
 	maxResumes = 3
-	// cancelTimeout bounds the call that cancels an attempt at its engine.
+	// cancelTimeout bounds the call that cancels an attempt on its engine.
 	cancelTimeout = 2 * time.Second
 
+	// Priorities that are sent to the engine with a call.
 	priorityInteractive = 0
 	priorityBatch       = 10
 )
 
-// dispatch starts a queued attempt on the endpoint.
+// dispatch starts a queued attempt on the endpoint of l. A nil link means that the endpoint has been
+// removed from the bundle; the attempt is then refused.
 func (r *runner) dispatch(id work.AttemptID, l *link) {
 	a, ok := r.owner.attempts.get(id)
 	if ok && l == nil {
 		a.refuse(time.Now(), result.New(result.NoEndpoint, "the endpoint was removed from the bundle"))
 	}
-	if !ok || l == nil || !a.dispatched(l.spec.Name) {
-		go r.finished(id, 0, nil)
+	if !ok || l == nil || !a.markRunning(l.spec.Name) {
+		go r.notifyFinished(id, 0, nil)
 		return
 	}
 	go r.run(a, l)
 }
 
-// run sends the attempt to the endpoint, unless this VM's right has lapsed, and follows the answer.
+// run sends the attempt to the endpoint and forwards the response. It refuses the attempt if this VM no
+// longer holds the group's lease.
 func (r *runner) run(a *attempt, l *link) {
-	if !r.held() {
+	if !r.holdsLease() {
 		a.refuse(time.Now(), notOwner(r.group))
-		r.finished(a.req.ID, 0, nil)
+		r.notifyFinished(a.req.ID, 0, nil)
 		return
 	}
 	x := &execution{runner: r, attempt: a, link: l, incarnation: l.currentIncarnation()}
-	if !r.startSuspect(a, l) {
+	if !r.recordStart(a, l) {
 		return
 	}
 	r.meterStart(a)
-	x.conclude(x.execute())
+	x.finish(x.execute())
 }
 
-// meterStart counts how long the attempt has waited, and whether it waited for a load.
+// meterStart records how long the attempt was queued. An attempt whose adapter was loaded after its
+// arrival counts as a stall.
 func (r *runner) meterStart(a *attempt) {
 	now := time.Now()
 	waited := now.Sub(a.arrived)
 	r.owner.meters.accountWait(a.req.Account).Update(waited)
 	r.mu.Lock()
-	loaded := r.loaded[a.req.Adapter]
+	loaded := r.loadedAt[a.req.Adapter]
 	r.mu.Unlock()
 	if loaded.After(a.arrived) {
 		r.owner.meters.stalls.Inc(1)
@@ -67,8 +71,9 @@
 	}
 }
 
-// errSuspectRuns says that the attempt did not start because copies of it run elsewhere.
-var errSuspectRuns = errors.Wrap(endpoint.ErrBusy, "owner: copies of the request run elsewhere")
+// errCopyRunning means that the attempt was not started because another copy of the same request runs on
+// a different endpoint. It wraps ErrBusy, because the endpoint did not run the attempt.
+var errCopyRunning = errors.Wrap(endpoint.ErrBusy, "owner: copies of the request run elsewhere")
 
 // execution is one run of an attempt on one endpoint.
 type execution struct {
@@ -76,15 +81,16 @@
 	attempt     *attempt
 	link        *link
 	incarnation string
-	// sent says that the endpoint has begun to answer.
-	sent bool
-	// next is the number of the stream event that comes next; events are numbered from 0.
-	next uint64
-	// used counts the pieces of the answer.
-	used int64
+	// responseStarted is true once the endpoint has begun to respond.
+	responseStarted bool
+	// nextEvent is the number of the next stream event; events are numbered from 0.
+	nextEvent uint64
+	// chunks counts the response's data chunks. In a stream, each counts as one token.
+	chunks int64
 }
 
-// engineID is the identifier under which the endpoint knows the attempt.
+// engineID is the request ID that identifies the attempt on its endpoint. A resumed stream keeps the ID of the
+// attempt that started it.
 func (x *execution) engineID() string {
 	req := x.attempt.req
 	if req.Resume != nil {
@@ -93,7 +99,8 @@
 	return fmt.Sprintf("%s.%d", req.ID.Request, req.ID.Attempt)
 }
 
-// context returns the context of the call. A non-idempotent call is not cut short by its caller.
+// context returns the context of the call, which ends at the attempt's deadline. A non-idempotent call is
+// not cancelled with its attempt.
 func (x *execution) context() (context.Context, context.CancelFunc) {
 	base := x.attempt.ctx
 	if !x.attempt.req.Idempotent {
@@ -102,7 +109,8 @@
 	return context.WithDeadline(base, x.attempt.deadline)
 }
 
-// execute sends the call and passes the answer on until its end marker. Cut streams are resumed.
+// execute sends the call and forwards the response up to its end marker. Streams whose connection breaks
+// are resumed up to maxResumes times.
 func (x *execution) execute() error {
 	ctx, cancel := x.context()
 	defer cancel()
@@ -110,23 +118,23 @@
 	if err != nil {
 		return err
 	}
-	err = x.follow(ctx, answer)
+	err = x.forward(ctx, answer)
 	for resumes := 0; x.resumable(ctx, err) && resumes < maxResumes; resumes++ {
-		answer, err = x.link.engine.Resume(ctx, x.engineID(), x.next)
+		answer, err = x.link.engine.Resume(ctx, x.engineID(), x.nextEvent)
 		if err != nil {
 			break
 		}
 		x.runner.owner.meters.resumed.Inc(1)
-		err = x.follow(ctx, answer)
+		err = x.forward(ctx, answer)
 	}
 	return err
 }
 
-// open starts the call, or resumes the stream that the attempt names.
+// open sends the call. If the attempt continues an existing stream, that stream is resumed instead.
 func (x *execution) open(ctx context.Context) (endpoint.Answer, error) {
 	req := x.attempt.req
 	if req.Resume != nil {
-		x.next = req.Resume.Next
+		x.nextEvent = req.Resume.Next
 		return x.link.engine.Resume(ctx, req.Resume.EngineID, req.Resume.Next)
 	}
 	call := req.Call
@@ -142,19 +150,19 @@
 	return priorityInteractive
 }
 
-// resumable reports whether a cut stream can go on at the same engine.
+// resumable reports whether a stream that failed with err can be resumed on the same engine.
 func (x *execution) resumable(ctx context.Context, err error) bool {
 	if !errors.Is(err, endpoint.ErrCut) || x.link.engine == nil || !x.attempt.req.Call.Stream {
 		return false
 	}
-	return ctx.Err() == nil && !x.link.crashed(ctx, x.incarnation)
+	return ctx.Err() == nil && !x.link.hasCrashed(ctx, x.incarnation)
 }
 
-// follow passes one answer on. It returns nil after the end marker.
-func (x *execution) follow(ctx context.Context, answer endpoint.Answer) error {
+// forward copies the response into the attempt's event log. It returns nil after the end marker.
+func (x *execution) forward(ctx context.Context, answer endpoint.Answer) error {
 	defer func() { _ = answer.Close() }()
-	if !x.sent {
-		x.begin(ctx, answer)
+	if !x.responseStarted {
+		x.recordResponseStart(ctx, answer)
 	}
 	for {
 		data, err := answer.Next()
@@ -164,77 +172,81 @@
 		if err != nil {
 			return err
 		}
-		x.next++
-		x.used++
+		x.nextEvent++
+		x.chunks++
 		if !x.attempt.log.append(ctx, work.Event{Kind: work.Data, Data: data}) {
 			return errors.Wrap(endpoint.ErrCut, "the attempt ended")
 		}
 	}
 }
 
-// begin reports that the endpoint has begun to answer.
-func (x *execution) begin(ctx context.Context, answer endpoint.Answer) {
-	x.sent = true
+// recordResponseStart appends the events for the start of the response and for its status and header.
+func (x *execution) recordResponseStart(ctx context.Context, answer endpoint.Answer) {
+	x.responseStarted = true
 	x.attempt.log.append(ctx, work.Event{Kind: work.Started, Endpoint: x.link.spec.Name, EngineID: x.engineID()})
 	x.attempt.log.append(ctx, work.Event{Kind: work.Head, Status: answer.Status(), Header: answer.Header()})
 }
 
-// conclude ends the attempt, or returns it to the queue if the endpoint did not run it.
-func (x *execution) conclude(err error) {
+// finish ends the attempt with the result of execute, or returns it to the queue if the endpoint did not
+// run it.
+func (x *execution) finish(err error) {
 	id := x.attempt.req.ID
 	if err == nil {
-		x.released(true)
+		x.recordEnd(true)
 		x.attempt.end(time.Now(), work.Event{Kind: work.End})
 		x.runner.owner.meters.answered.Inc(1)
-		x.runner.finished(id, x.cost(), nil)
+		x.runner.notifyFinished(id, x.cost(), nil)
 		return
 	}
-	if !x.sent && notRun(err) {
-		x.giveBack(err)
+	if !x.responseStarted && provesNotRun(err) {
+		x.returnToQueue(err)
 		return
 	}
 	x.cancelAtEngine()
-	failure := x.failure(err)
-	x.released(false)
+	failure := x.failureFor(err)
+	x.recordEnd(false)
 	x.attempt.fail(time.Now(), failure)
 	x.runner.owner.meters.failed.Inc(1)
 	x.logFailure(err)
-	x.runner.finished(id, x.cost(), nil)
+	x.runner.notifyFinished(id, x.cost(), nil)
 }
 
-// released says that the attempt no longer runs on the endpoint. It comes before the entry can see
-// the end, so that a repeat is judged by the whole record.
-func (x *execution) released(whole bool) {
-	x.runner.owner.cfg.Suspects.Ended(time.Now(), x.attempt.req.Fingerprint, x.link.spec.Name, whole)
+// recordEnd records with Suspects that the attempt no longer runs on the endpoint; completed means that it ran
+// to its normal end. It must be called before the entry VM can see the end, so that a repeat of the
+// request is checked against an up-to-date record.
+func (x *execution) recordEnd(completed bool) {
+	x.runner.owner.cfg.Suspects.Ended(time.Now(), x.attempt.req.Fingerprint, x.link.spec.Name, completed)
 }
 
-// notRun reports whether the error proves that the endpoint did not run the call.
-func notRun(err error) bool {
+// provesNotRun reports whether the error proves that the endpoint did not run the call.
+func provesNotRun(err error) bool {
 	return errors.Is(err, endpoint.ErrRefused) || errors.Is(err, endpoint.ErrNotSent) ||
 		errors.Is(err, endpoint.ErrNotLoaded) || errors.Is(err, endpoint.ErrBusy)
 }
 
-// cost is the tokens that the attempt really used; for plain answers, what was charged.
+// cost returns the tokens that the attempt used, at most those charged on arrival. The use of a response
+// that is not a stream is unknown; it costs what was charged.
 func (x *execution) cost() int64 {
 	req := x.attempt.req
 	if !req.Call.Stream {
 		return req.Tokens
 	}
-	return min(req.Tokens, x.used)
+	return min(req.Tokens, x.chunks)
 }
 
-// giveBack queues the attempt again after the endpoint has refused it without running it.
-func (x *execution) giveBack(refused error) {
+// returnToQueue queues the attempt again after the endpoint refused it without running it. An attempt that
+// continues a stream fails instead, since it depends on this endpoint.
+func (x *execution) returnToQueue(refused error) {
 	x.runner.owner.meters.returned.Inc(1)
 	id := x.attempt.req.ID
-	x.released(false)
+	x.recordEnd(false)
 	if x.attempt.req.Resume != nil {
-		x.attempt.fail(time.Now(), x.failure(refused))
-		x.runner.finished(id, 0, refused)
+		x.attempt.fail(time.Now(), x.failureFor(refused))
+		x.runner.notifyFinished(id, 0, refused)
 		return
 	}
-	returned := x.attempt.returned()
-	x.runner.finished(id, 0, refused)
+	returned := x.attempt.markQueued()
+	x.runner.notifyFinished(id, 0, refused)
 	if !returned {
 		return
 	}
@@ -244,8 +256,9 @@
 	x.runner.requeue(x.attempt)
 }
 
-// failure says why the answer is not whole. A crash makes every running attempt a suspect.
-func (x *execution) failure(err error) *work.Failure {
+// failureFor classifies the error that ended the response early. If the endpoint crashed, every request
+// that was running on it becomes a suspect.
+func (x *execution) failureFor(err error) *work.Failure {
 	failure := &work.Failure{
 		Code:     result.AnswerCut,
 		Outcome:  result.MayHaveRun,
@@ -261,30 +274,33 @@
 	case errors.Is(err, context.DeadlineExceeded) || !time.Now().Before(x.attempt.deadline):
 		failure.Code = result.DeadlinePassed
 	default:
-		failure.Crashed = x.sawCrash()
-		failure.Crash = x.crash()
-		if !x.sent {
+		failure.Crashed = x.detectCrash()
+		failure.Crash = x.crashID()
+		if !x.responseStarted {
 			failure.Code = result.EndpointFailed
 		}
 	}
 	return failure
 }
 
-// crash identifies the crash of this incarnation of the endpoint.
-func (x *execution) crash() string { return x.link.spec.Name + "/" + x.incarnation }
+// crashID returns an ID for the crash of this incarnation of the endpoint. All attempts that it ended
+// report the same ID.
+func (x *execution) crashID() string { return x.link.spec.Name + "/" + x.incarnation }
 
-// sawCrash reports whether the endpoint has crashed under the attempt.
-func (x *execution) sawCrash() bool {
-	if x.attempt.ctx.Err() != nil || !x.link.crashed(context.Background(), x.incarnation) {
+// detectCrash reports whether the endpoint crashed while it ran the attempt. A crash is recorded with
+// Suspects and makes the endpoint unreachable for the scheduler.
+func (x *execution) detectCrash() bool {
+	if x.attempt.ctx.Err() != nil || !x.link.hasCrashed(context.Background(), x.incarnation) {
 		return false
 	}
 	x.runner.owner.meters.crashes.Inc(1)
-	x.runner.owner.cfg.Suspects.CrashSeen(time.Now(), x.attempt.req.Fingerprint, x.crash())
+	x.runner.owner.cfg.Suspects.CrashSeen(time.Now(), x.attempt.req.Fingerprint, x.crashID())
 	x.runner.step(func(now time.Time) { x.runner.sched.Unreachable(now, x.link.spec.Name) })
 	return true
 }
 
-// cancelAtEngine stops an idempotent attempt that the engine may still run.
+// cancelAtEngine cancels an idempotent attempt on the engine, which may still be running it. Errors are
+// ignored.
 func (x *execution) cancelAtEngine() {
 	if x.link.engine == nil || !x.attempt.req.Idempotent {
 		return
@@ -301,5 +317,5 @@
 		"attempt":  x.attempt.req.ID.Attempt,
 		"endpoint": x.link.spec.Name,
 		"error":    err.Error(),
-	}).Warn("")
+	}).Warn("attempt failed on its endpoint")
 }
--- a/pkg/owner/eventlog.go
+++ b/pkg/owner/eventlog.go
@@ -8,22 +8,25 @@
 )
 
 const (
-	// maxUnreadBytes bounds the events that an attempt holds for its entry. The endpoint's answer is
-	// not read any further until the entry has fetched some.
+	// maxUnreadBytes bounds the data that an attempt buffers for its entry VM. At this size the owner stops
+	// reading the endpoint's response until the entry VM has fetched some events.
 	maxUnreadBytes = 1 << 20
-	// maxReplyBytes bounds the data that one call of Next returns.
+	// maxReplyBytes bounds the data that one call of Next returns, except that a single larger event is returned
+	// alone.
 	maxReplyBytes = 256 << 10
 )
 
-// eventLog holds the events of one attempt until its entry has acknowledged them.
+// eventLog buffers the events of one attempt until the entry VM has acknowledged them by polling for later
+// ones. It is safe for concurrent use.
 type eventLog struct {
+	// mu guards the fields below.
 	mu sync.Mutex
 	// events are consecutive; events[0] has number first.
 	events []work.Event
 	first  uint64
 	bytes  int
 	ended  bool
-	// delivered is the number of the last event that was given to the entry.
+	// delivered is the number of the last event that was returned to the entry VM.
 	delivered uint64
 	// changed is closed and replaced whenever events, bytes or ended change.
 	changed chan struct{}
@@ -39,8 +42,8 @@
 	l.changed = make(chan struct{})
 }
 
-// append adds the event under the next number. It waits while the entry is too far behind, and
-// reports false if ctx ends first. Events after the end are dropped.
+// append adds the event under the next number. It waits while maxUnreadBytes or more are buffered, except
+// for the event of a failure. It reports false if ctx ends first or if the log has already ended.
 func (l *eventLog) append(ctx context.Context, event work.Event) bool {
 	for {
 		l.mu.Lock()
@@ -63,7 +66,7 @@
 	}
 }
 
-// add appends the event. The caller holds l.mu.
+// add appends the event without waiting. The caller holds l.mu.
 func (l *eventLog) add(event work.Event) {
 	event.Seq = l.first + uint64(len(l.events))
 	l.events = append(l.events, event)
@@ -72,11 +75,12 @@
 	l.signal()
 }
 
-// next releases events below from and waits for events from it on. It returns none when ctx ends.
+// next discards the events numbered below from and returns the following ones, waiting until there are
+// some. It returns none if ctx ends first, or if the log has ended and all of it was discarded.
 func (l *eventLog) next(ctx context.Context, from uint64) []work.Event {
 	for {
 		l.mu.Lock()
-		l.release(from)
+		l.discardBelow(from)
 		events := l.batch()
 		changed := l.changed
 		done := l.ended
@@ -92,8 +96,8 @@
 	}
 }
 
-// release drops events below from. The caller holds l.mu.
-func (l *eventLog) release(from uint64) {
+// discardBelow discards the events numbered below from. The caller holds l.mu.
+func (l *eventLog) discardBelow(from uint64) {
 	dropped := 0
 	for dropped < len(l.events) && l.first+uint64(dropped) < from {
 		l.bytes -= len(l.events[dropped].Data)
@@ -123,29 +127,29 @@
 	return append([]work.Event(nil), l.events[:n]...)
 }
 
-// clear releases every event once the entry can no longer be waiting for them.
+// clear discards every event. It is called once the entry VM can no longer be waiting for them.
 func (l *eventLog) clear() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.release(l.first + uint64(len(l.events)))
+	l.discardBelow(l.first + uint64(len(l.events)))
 }
 
-// waive notes that the entry has learnt of the end by another way and waits for no event. The events
-// stay, in case that the entry asks all the same.
-func (l *eventLog) waive() {
+// markDelivered marks every event as delivered, because the entry VM has received the outcome by another call
+// and waits for no event. The events are kept in case it polls nevertheless.
+func (l *eventLog) markDelivered() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delivered = l.first + uint64(len(l.events)) - 1
 }
 
-// unread returns the bytes that wait for the entry.
-func (l *eventLog) unread() int {
+// unreadBytes returns the bytes of data buffered for the entry VM.
+func (l *eventLog) unreadBytes() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.bytes
 }
 
-// undelivered reports whether the entry has not been given every event.
+// undelivered reports whether some events have not been returned to the entry VM yet.
 func (l *eventLog) undelivered() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/owner/evictions.go
+++ b/pkg/owner/evictions.go
@@ -15,13 +15,15 @@
 )
 
 const (
-	// evictionPrefix precedes the rows that record evictions about to be ordered.
+	// evictionPrefix is the key prefix of the rows that record eviction orders before they are sent.
 	evictionPrefix = "eviction/"
-	// evictionPollInterval is the time between two looks at a former owner's pending evictions.
+	// evictionPollInterval is the time between two checks whether the former owners of pending evictions are
+	// proven gone, and between two attempts to read the records.
 	evictionPollInterval = time.Second
 )
 
-// evictionRecord is the row of an eviction that has been or is about to be ordered.
+// evictionRecord is the stored value that records an eviction order. It is written before the order is
+// sent, so the order may or may not have been sent.
 type evictionRecord struct {
 	VM          string                  `json:"vm"`
 	Incarnation string                  `json:"incarnation"`
@@ -34,7 +36,7 @@
 	return evictionPrefix + r.group + "/" + l.spec.Name + "/" + adapter.String()
 }
 
-// recordEviction writes the intent to evict. The eviction is not ordered unless this succeeds.
+// recordEviction stores the intent to evict. The order must not be sent unless this succeeds.
 func (r *runner) recordEviction(ctx context.Context, l *link, adapter endpoint.AdapterVersion) error {
 	record := evictionRecord{
 		VM:          r.owner.cfg.VM,
@@ -47,38 +49,39 @@
 	if err != nil {
 		return errors.Wrap(err, "encode eviction record")
 	}
-	return r.write(ctx, platform.Write{Key: r.evictionKey(l, adapter), Value: value})
+	return r.commitWrite(ctx, platform.Write{Key: r.evictionKey(l, adapter), Value: value})
 }
 
-// forgetEviction deletes the record of an order that the endpoint has answered.
-func (r *runner) forgetEviction(ctx context.Context, l *link, adapter endpoint.AdapterVersion) {
-	err := r.write(ctx, platform.Write{Key: r.evictionKey(l, adapter), Delete: true})
+// deleteEvictionRecord deletes the record of an order that the endpoint has responded to.
+func (r *runner) deleteEvictionRecord(ctx context.Context, l *link, adapter endpoint.AdapterVersion) {
+	err := r.commitWrite(ctx, platform.Write{Key: r.evictionKey(l, adapter), Delete: true})
 	if err != nil {
-		r.logOrder("eviction_record_kept", l, adapter, err)
+		r.logOrder("eviction_record_kept", "eviction record deletion", l, adapter, err)
 	}
 }
 
-func (r *runner) write(ctx context.Context, write platform.Write) error {
+func (r *runner) commitWrite(ctx context.Context, write platform.Write) error {
 	txn := platform.Txn{Attempt: uuid.NewString(), Writes: []platform.Write{write}}
 	_, err := r.owner.cfg.Table.Commit(ctx, txn)
 	return err
 }
 
-// pendingEvictions returns the evictions that former owners may still have under way at endpoints
-// that ignore fencing numbers.
+// pendingEvictions returns the evictions that former owners ordered and that may still arrive at
+// endpoints, if some endpoint of the group ignores fencing numbers.
 func (r *runner) pendingEvictions() []pendingEviction {
-	if !r.ignoresFencing() {
+	if !r.hasEndpointIgnoringFencing() {
 		return nil
 	}
 	rows, ok := r.readEvictions()
 	if !ok {
 		return nil
 	}
-	return r.formerOwners(rows)
+	return r.formerOwnerEvictions(rows)
 }
 
-// awaitProvenGone allows each adapter again once its former owner is proven gone.
-func (r *runner) awaitProvenGone(pending []pendingEviction) {
+// allowOnceProvenGone lets the scheduler use each adapter again once the VM that ordered its eviction is
+// proven gone.
+func (r *runner) allowOnceProvenGone(pending []pendingEviction) {
 	for len(pending) > 0 {
 		pending = r.allowProvenGone(pending)
 		if !clock.Sleep(r.ctx, evictionPollInterval) {
@@ -87,8 +90,8 @@
 	}
 }
 
-// readEvictions lists the records. While the table does not answer it tries again, unless the
-// previous owner is proven gone, in which case the group is not held up.
+// readEvictions lists the group's eviction records and retries while the table is unavailable. It gives up
+// after an error if the previous owner is proven gone, so that the group is not delayed.
 func (r *runner) readEvictions() ([]platform.Row, bool) {
 	for {
 		ctx, cancel := context.WithTimeout(r.ctx, orderTimeout)
@@ -103,19 +106,21 @@
 	}
 }
 
-// pendingEviction is a former owner's eviction that may still arrive.
+// pendingEviction is a former owner's eviction order that may still reach its endpoint.
 type pendingEviction struct {
 	key    string
 	record evictionRecord
 }
 
-// formerOwners returns the records of other processes' orders.
-func (r *runner) formerOwners(rows []platform.Row) []pendingEviction {
+// formerOwnerEvictions returns the records written under earlier leases of the group, by their lower fencing
+// numbers. Records that cannot be decoded are logged and skipped.
+func (r *runner) formerOwnerEvictions(rows []platform.Row) []pendingEviction {
 	var pending []pendingEviction
 	for _, row := range rows {
 		e := pendingEviction{key: row.Key}
 		if err := json.Unmarshal(row.Value, &e.record); err != nil {
-			r.owner.cfg.Log.WithFields(logrus.Fields{"event": "eviction_record_bad", "key": row.Key}).Error("")
+			r.owner.cfg.Log.WithFields(logrus.Fields{"event": "eviction_record_bad", "key": row.Key}).
+				Error("cannot decode eviction record; ignoring it")
 			continue
 		}
 		if e.record.Fencing < r.grant.Fencing {
@@ -125,7 +130,8 @@
 	return pending
 }
 
-// allowProvenGone allows the adapters whose former owner is proven gone, and returns the others.
+// allowProvenGone lets the scheduler use the adapters whose former owner is proven gone, and returns the
+// other evictions.
 func (r *runner) allowProvenGone(pending []pendingEviction) []pendingEviction {
 	var kept, gone []pendingEviction
 	for _, e := range pending {
@@ -140,17 +146,17 @@
 			r.sched.AllowAdapter(e.record.Endpoint, e.record.Adapter)
 		}
 	})
-	r.deleteRecords(gone)
+	r.deleteEvictionRecords(gone)
 	return kept
 }
 
-// deleteRecords deletes the records of evictions that cannot arrive any more. One that is left
-// behind is read, and deleted, by the next owner.
-func (r *runner) deleteRecords(gone []pendingEviction) {
+// deleteEvictionRecords deletes the records of evictions that cannot arrive any more. It stops at the first
+// error: the next owner reads and deletes the remaining records.
+func (r *runner) deleteEvictionRecords(gone []pendingEviction) {
 	ctx, cancel := context.WithTimeout(r.ctx, orderTimeout)
 	defer cancel()
 	for _, e := range gone {
-		if err := r.write(ctx, platform.Write{Key: e.key, Delete: true}); err != nil {
+		if err := r.commitWrite(ctx, platform.Write{Key: e.key, Delete: true}); err != nil {
 			return
 		}
 	}
--- a/pkg/owner/fake_test.go
+++ b/pkg/owner/fake_test.go
@@ -21,7 +21,7 @@
 	"github.com/mallowlink/mallowlink/pkg/suspect"
 )
 
-// fakeEngine is an engine in memory. Each stream has streamEvents events.
+// fakeEngine is an in-memory engine. Each stream has streamEvents events.
 type fakeEngine struct {
 	mu          sync.Mutex
 	incarnation string
@@ -29,13 +29,13 @@
 	loaded      map[endpoint.AdapterVersion]bool
 	ran         []string
 	unloads     []endpoint.Order
-	// down refuses every call.
+	// down makes the engine refuse new requests and load reports.
 	down bool
-	// cutAfter cuts the next stream after that many events; negative means never.
+	// cutAfter breaks the next response's connection after that many events; negative means never.
 	cutAfter int
-	// crashAfter crashes the engine in the next stream after that many events; negative means never.
+	// crashAfter crashes the engine whenever a response has sent that many events; negative means never.
 	crashAfter int
-	// hold, if set, delays the start of each answer until it is closed.
+	// hold, if set, delays the start of each response until it is closed.
 	hold chan struct{}
 	// unloadTime is how long an unload takes.
 	unloadTime time.Duration
@@ -46,12 +46,12 @@
 const (
 	streamEvents = 5
 	loadTime     = 250 * time.Millisecond
-	// unloadHalfway is some time into an eviction that has unloadTime 1 s.
-	unloadHalfway = 500 * time.Millisecond
+	// midUnload is a time at which an eviction with an unloadTime of 1 s is in progress.
+	midUnload = 500 * time.Millisecond
 )
 
-// pause waits, or returns the context's error if that ends first.
-func pause(ctx context.Context, d time.Duration) error {
+// sleepContext waits for d, or returns the context's error if ctx ends first.
+func sleepContext(ctx context.Context, d time.Duration) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -100,7 +100,7 @@
 func (f *fakeEngine) Cancel(context.Context, string) error { return nil }
 
 func (f *fakeEngine) Load(ctx context.Context, _ endpoint.Order, adapter endpoint.AdapterVersion) error {
-	if err := pause(ctx, loadTime); err != nil {
+	if err := sleepContext(ctx, loadTime); err != nil {
 		return err
 	}
 	f.mu.Lock()
@@ -114,9 +114,9 @@
 
 func (f *fakeEngine) Unload(ctx context.Context, order endpoint.Order, adapter endpoint.AdapterVersion) error {
 	f.mu.Lock()
-	takes := f.unloadTime
+	duration := f.unloadTime
 	f.mu.Unlock()
-	if err := pause(ctx, takes); err != nil {
+	if err := sleepContext(ctx, duration); err != nil {
 		return err
 	}
 	f.mu.Lock()
@@ -129,7 +129,7 @@
 func (f *fakeEngine) SetRole(context.Context, endpoint.Order, endpoint.Role) error { return nil }
 
 func (f *fakeEngine) Report(ctx context.Context) (endpoint.LoadReport, error) {
-	if err := pause(ctx, f.reportDelay); err != nil {
+	if err := sleepContext(ctx, f.reportDelay); err != nil {
 		return endpoint.LoadReport{}, err
 	}
 	f.mu.Lock()
@@ -158,7 +158,8 @@
 	return len(f.ran)
 }
 
-// crash drops what is loaded and refuses calls until restart.
+// crash discards the loaded adapters, starts a new incarnation and makes the engine refuse calls until
+// restart is called.
 func (f *fakeEngine) crash() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -203,7 +204,7 @@
 	return []byte{byte('0' + a.next)}, nil
 }
 
-// fakeLessor holds one lease.
+// fakeLessor is a lessor with a single lease, held until lapse is called.
 type fakeLessor struct {
 	mu    sync.Mutex
 	grant lease.Grant
@@ -224,7 +225,7 @@
 	f.held = false
 }
 
-// fakeTable records commits and may be down.
+// fakeTable is an in-memory table. While down is set, List and Commit fail.
 type fakeTable struct {
 	mu   sync.Mutex
 	rows map[string][]byte
@@ -264,7 +265,7 @@
 	return 1, nil
 }
 
-// fakeMembers knows which VMs are proven gone.
+// fakeMembers reports a VM as gone once proveGone was called for it.
 type fakeMembers struct {
 	mu   sync.Mutex
 	gone map[string]bool
@@ -276,16 +277,16 @@
 	return f.gone[vm]
 }
 
-func (f *fakeMembers) prove(vm string) {
+func (f *fakeMembers) proveGone(vm string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.gone[vm] = true
 }
 
-type freePermits struct{}
+type unlimitedPermits struct{}
 
-func (freePermits) TryTake(time.Time) bool { return true }
-func (freePermits) Release()               {}
+func (unlimitedPermits) TryTake(time.Time) bool { return true }
+func (unlimitedPermits) Release()               {}
 
 type fixedSource struct{ b *bundle.Bundle }
 
@@ -297,8 +298,8 @@
 
 func (c fakeConnector) Service(spec bundle.Endpoint) endpoint.Service { return c.engines[spec.Name] }
 
-// bench is an owner of one group with fakes around it.
-type bench struct {
+// fixture is an Owner of one group with fake dependencies.
+type fixture struct {
 	owner   *Owner
 	lessor  *fakeLessor
 	table   *fakeTable
@@ -307,21 +308,21 @@
 	stop    context.CancelFunc
 }
 
-const benchGroup = "assistant"
+const testGroup = "assistant"
 
-func newBench(fencing bool, engines map[string]*fakeEngine) *bench {
+func newFixture(fencing bool, engines map[string]*fakeEngine) *fixture {
 	b := &bundle.Bundle{
-		Groups:    map[string]bundle.Group{benchGroup: {Name: benchGroup, Kind: bundle.KindEngine, QueueLimit: 100}},
+		Groups:    map[string]bundle.Group{testGroup: {Name: testGroup, Kind: bundle.KindEngine, QueueLimit: 100}},
 		Endpoints: map[string]bundle.Endpoint{},
 	}
 	for name, engine := range engines {
 		b.Endpoints[name] = bundle.Endpoint{
-			Name: name, Group: benchGroup, URL: name, Slots: engine.slots, MaxRunning: 4, ChecksFencing: fencing,
+			Name: name, Group: testGroup, URL: name, Slots: engine.slots, MaxRunning: 4, ChecksFencing: fencing,
 		}
 	}
 	logger, _ := test.NewNullLogger()
-	f := &bench{
-		lessor:  &fakeLessor{grant: lease.Grant{Name: "group/" + benchGroup, Fencing: 7, PreviousProvenGone: true}, held: true},
+	f := &fixture{
+		lessor:  &fakeLessor{grant: lease.Grant{Name: "group/" + testGroup, Fencing: 7, PreviousProvenGone: true}, held: true},
 		table:   &fakeTable{rows: map[string][]byte{}},
 		members: &fakeMembers{gone: map[string]bool{}},
 		engines: engines,
@@ -334,7 +335,7 @@
 		Source:      fixedSource{b},
 		Table:       f.table,
 		Connector:   fakeConnector{engines},
-		Permits:     freePermits{},
+		Permits:     unlimitedPermits{},
 		Suspects:    suspect.NewTable(suspect.OwnerLimits()),
 		NewScheduler: func(_ bundle.Group, p scheduler.LoadPermits, rng *rand.Rand) scheduler.Scheduler {
 			return scheduler.New(scheduler.DefaultConfig(), rng, p)
@@ -350,8 +351,8 @@
 	return f
 }
 
-// TestMain starts the goroutine that go-metrics keeps for its meters outside of any bubble of
-// virtual time.
+// TestMain starts the background goroutine of go-metrics outside any synctest bubble. It never exits, so a
+// bubble that had started it could not end.
 func TestMain(m *testing.M) {
 	metrics.NewMeter().Stop()
 	os.Exit(m.Run())
--- a/pkg/owner/link.go
+++ b/pkg/owner/link.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// reportInterval is the time between two load reports of one endpoint.
+	// reportInterval is the time between two polls of one endpoint's load report.
 	reportInterval = 500 * time.Millisecond
-	// reportTimeout bounds the wait for a load report.
+	// reportTimeout bounds each poll for a load report or for cache events.
 	reportTimeout = time.Second
-	// failuresToUnreachable is the number of reports in a row that must fail before the endpoint
-	// counts as unreachable. A refused connection counts at once.
+	// failuresToUnreachable is the number of consecutive polls that must fail before the endpoint counts as
+	// unreachable. After a refused connection it does so at once.
 	failuresToUnreachable = 3
-	// serviceIncarnation names the incarnations of a plain service, which does not tell its
-	// restarts, by the outages seen.
-	serviceIncarnation = "service-%d"
-	// serviceProbePath is requested to see whether a plain service answers; any status will do.
+	// serviceIncarnationFormat formats the incarnation of a plain service from the number of outages seen.
+	// Services do not report restarts, so each outage counts as one.
+	serviceIncarnationFormat = "service-%d"
+	// serviceProbePath is requested to check that a plain service responds; any status will do.
 	serviceProbePath = "/healthz"
 )
 
-// link is the connection to one endpoint and what its owner has last seen of it.
+// link holds the client of one endpoint and the endpoint's last observed state. Endpoints are engines,
+// which load adapters and send load reports, or plain services.
 type link struct {
 	spec    bundle.Endpoint
 	service endpoint.Service
@@ -36,15 +37,19 @@
 	engine endpoint.Engine
 	cancel context.CancelFunc
 
-	mu          sync.Mutex
+	// mu guards the fields below.
+	mu sync.Mutex
+	// incarnation is empty until the first load report.
 	incarnation string
-	failures    int
-	lastEvent   uint64
+	// failures counts consecutive failed polls.
+	failures int
+	// lastEvent is the number of the last cache event read in this incarnation.
+	lastEvent uint64
 	// outages counts how often a plain service has become reachable again.
 	outages int
 }
 
-// newLink connects to the endpoint and starts watching it.
+// newLink returns a link to the endpoint and starts polling it.
 func (r *runner) newLink(spec bundle.Endpoint, kind bundle.GroupKind) *link {
 	ctx, cancel := context.WithCancel(r.ctx)
 	l := &link{spec: spec, cancel: cancel}
@@ -58,12 +63,12 @@
 	return l
 }
 
-// watch reads the endpoint's load reports and cache events until ctx ends.
+// watch polls the endpoint's load report and cache events every reportInterval until ctx ends.
 func (r *runner) watch(ctx context.Context, l *link) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
-		r.observe(ctx, l)
+		r.pollEndpoint(ctx, l)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -72,23 +77,24 @@
 	}
 }
 
-func (r *runner) observe(ctx context.Context, l *link) {
-	report, err := l.report(ctx)
+func (r *runner) pollEndpoint(ctx context.Context, l *link) {
+	report, err := l.fetchReport(ctx)
 	if ctx.Err() != nil {
 		return
 	}
 	if err != nil {
-		r.reportFailed(l, err)
+		r.handleReportError(l, err)
 		return
 	}
-	r.reported(l, report)
+	r.handleReport(l, report)
 	if l.engine != nil {
 		r.readCacheEvents(ctx, l)
 	}
 }
 
-// report asks for a load report. A plain service that answers at all is given an empty one.
-func (l *link) report(ctx context.Context) (endpoint.LoadReport, error) {
+// fetchReport requests a load report. For a plain service that responds at all, it returns one that holds only
+// the incarnation.
+func (l *link) fetchReport(ctx context.Context) (endpoint.LoadReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	if l.engine != nil {
@@ -102,44 +108,45 @@
 	return endpoint.LoadReport{Incarnation: l.serviceIncarnation()}, nil
 }
 
-// serviceIncarnation returns the incarnation of a plain service that has just answered.
+// serviceIncarnation returns the incarnation of a plain service that has just responded.
 func (l *link) serviceIncarnation() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.failures >= failuresToUnreachable {
 		l.outages++
 	}
-	return fmt.Sprintf(serviceIncarnation, l.outages)
+	return fmt.Sprintf(serviceIncarnationFormat, l.outages)
 }
 
-// reported passes a load report on. A new incarnation means that every attempt there was cut.
-func (r *runner) reported(l *link, report endpoint.LoadReport) {
-	restarted := l.seen(report.Incarnation)
+// handleReport passes a load report to the scheduler. A new incarnation means that the endpoint has
+// restarted and that every attempt on it was interrupted.
+func (r *runner) handleReport(l *link, report endpoint.LoadReport) {
+	restarted := l.recordReport(report.Incarnation)
 	if restarted {
-		r.logEndpoint("endpoint_restarted", l, nil)
+		r.logEndpoint("endpoint_restarted", "endpoint restarted", l, nil)
 		r.owner.meters.restarts.Inc(1)
 	}
 	r.step(func(now time.Time) { r.sched.Report(now, l.spec.Name, report) })
 }
 
-func (r *runner) reportFailed(l *link, err error) {
-	if !l.failed(err) {
+func (r *runner) handleReportError(l *link, err error) {
+	if !l.recordFailure(err) {
 		return
 	}
-	r.logEndpoint("endpoint_unreachable", l, err)
+	r.logEndpoint("endpoint_unreachable", "endpoint unreachable", l, err)
 	r.step(func(now time.Time) { r.sched.Unreachable(now, l.spec.Name) })
 }
 
-func (r *runner) logEndpoint(event string, l *link, err error) {
+func (r *runner) logEndpoint(event, message string, l *link, err error) {
 	fields := logrus.Fields{"event": event, "group": r.group, "endpoint": l.spec.Name}
 	if err != nil {
 		fields["error"] = err.Error()
 	}
-	r.owner.cfg.Log.WithFields(fields).Warn("")
+	r.owner.cfg.Log.WithFields(fields).Warn(message)
 }
 
-// seen records a report's incarnation and reports whether the engine has restarted.
-func (l *link) seen(incarnation string) bool {
+// recordReport records the incarnation in a load report and reports whether the endpoint has restarted.
+func (l *link) recordReport(incarnation string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failures = 0
@@ -151,8 +158,8 @@
 	return restarted
 }
 
-// failed records a failed report and reports whether the endpoint has just become unreachable.
-func (l *link) failed(err error) bool {
+// recordFailure counts a failed poll and reports whether the endpoint has just become unreachable.
+func (l *link) recordFailure(err error) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before := l.failures
@@ -169,15 +176,18 @@
 	return l.incarnation
 }
 
-// crashed asks the endpoint whether it is still the incarnation on which an attempt ran.
-func (l *link) crashed(ctx context.Context, incarnation string) bool {
-	report, err := l.report(ctx)
+// hasCrashed polls the endpoint and reports whether it counts as crashed since the given incarnation: the poll
+// fails or returns another incarnation.
+func (l *link) hasCrashed(ctx context.Context, incarnation string) bool {
+	report, err := l.fetchReport(ctx)
 	if err != nil {
 		return true
 	}
 	return incarnation != "" && report.Incarnation != incarnation
 }
 
+// readCacheEvents passes the engine's new cache events to the scheduler, with a note whether some are
+// missing. Errors are ignored; the next poll asks for the same events again.
 func (r *runner) readCacheEvents(ctx context.Context, l *link) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
--- a/pkg/owner/meters.go
+++ b/pkg/owner/meters.go
@@ -17,11 +17,12 @@
 	metricCrashes    = "owner.endpoints.crashed"
 	metricDecide     = "owner.decide"
 	metricLoadTime   = "owner.loads.time"
-	// metricStalls counts attempts that waited for their adapter to be loaded, metricStallTime the
-	// time from their arrival to their start.
+	// metricStalls counts attempts that waited for their adapter to be loaded. metricStallTime is the time
+	// from their arrival to their start.
 	metricStalls    = "owner.stalls"
 	metricStallTime = "owner.stalls.time"
-	// metricAccountWait is followed by the client account: the time from arrival to start.
+	// metricAccountWait is the name's prefix, followed by the client account: the time from an attempt's
+	// arrival to its start.
 	metricAccountWait = "owner.wait.account."
 )
 
@@ -36,7 +37,7 @@
 	registry metrics.Registry
 }
 
-// accountWait returns the timer of the account's waits.
+// accountWait returns the timer of the time that the account's attempts wait to be started.
 func (m meters) accountWait(account string) metrics.Timer {
 	return metrics.GetOrRegisterTimer(metricAccountWait+account, m.registry)
 }
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -1,6 +1,10 @@
-// Package owner runs attempts on the endpoints of the groups that this VM owns. It is the only
-// place that sends work and orders to an endpoint. Decisions are package scheduler's; this package
-// carries them out and reports back.
+// Package owner runs attempts on the endpoints of the groups that this VM owns. A VM owns a group, which is
+// a set of endpoints, while it holds the group's lease. Only the owner sends work and orders (to load or
+// evict an adapter, or to set a role) to the group's endpoints.
+//
+// The VM that receives a request, its entry VM, submits an attempt to the group's owner and polls it for
+// the attempt's events. Package scheduler decides which attempt runs where and which adapters are loaded;
+// this package performs those actions and reports their results to the scheduler.
 package owner
 
 import (
@@ -25,11 +29,12 @@
 const (
 	// sweepInterval is the time between two sweeps of the table of attempts.
 	sweepInterval = time.Second
-	// noOwnerRetry is when a caller should come back while a group changes its owner.
-	noOwnerRetry = time.Second
+	// noOwnerRetryAfter is the time after which a caller should retry while a group has no owner.
+	noOwnerRetryAfter = time.Second
 )
 
-// Connector returns clients for endpoints. Clients are kept while the endpoint's URL is the same.
+// Connector returns clients for endpoints. A client is used for as long as the endpoint's URL stays the
+// same.
 type Connector interface {
 	Engine(spec bundle.Endpoint) endpoint.Engine
 	Service(spec bundle.Endpoint) endpoint.Service
@@ -38,24 +43,25 @@
 // Permits is this VM's share of the fleet-wide load budget.
 type Permits interface {
 	scheduler.LoadPermits
-	// Release gives back the permit of a load that has ended.
+	// Release returns the permit of a load that has ended.
 	Release()
 }
 
-// Members tells which processes are proven gone. *membership.Registry implements it.
+// Members reports which processes are proven gone, that is, can send no more orders.
+// *membership.Registry implements it.
 type Members interface {
 	Gone(vm, incarnation string) bool
 }
 
-// Source gives the bundle in force.
+// Source provides the configuration bundle in force, or nil if there is none yet.
 type Source interface {
 	Current() *bundle.Bundle
 }
 
-// NewScheduler returns the scheduler of a group.
+// NewScheduler creates the scheduler of a group.
 type NewScheduler func(group bundle.Group, permits scheduler.LoadPermits, rng *rand.Rand) scheduler.Scheduler
 
-// Config holds what an Owner works with.
+// Config holds the identity and the dependencies of an Owner.
 type Config struct {
 	VM           string
 	Incarnation  string
@@ -69,7 +75,7 @@
 	NewScheduler NewScheduler
 	Metrics      metrics.Registry
 	Log          logrus.FieldLogger
-	// Seed seeds the choices of the schedulers.
+	// Seed seeds the schedulers' random choices.
 	Seed uint64
 }
 
@@ -77,25 +83,26 @@
 type Owner struct {
 	cfg      Config
 	meters   meters
-	attempts *attempts
+	attempts *attemptTable
 
 	mu      sync.Mutex
 	runners map[string]*runner
 }
 
-// New returns an owner that runs nothing until a lease is gained.
+// New returns an Owner that runs no group until LeaseGained is called.
 func New(cfg Config) *Owner {
 	return &Owner{
 		cfg:      cfg,
 		meters:   newMeters(cfg.Metrics),
-		attempts: newAttempts(),
+		attempts: newAttemptTable(),
 		runners:  map[string]*runner{},
 	}
 }
 
-// Wake has every owned group decide again, after load permits have come.
+// Wake makes the scheduler of every owned group decide again. It is called when load permits have become
+// available.
 func (o *Owner) Wake() {
-	for _, r := range o.list() {
+	for _, r := range o.sortedRunners() {
 		r.step(nil)
 	}
 }
@@ -122,9 +129,9 @@
 		return err
 	}
 	now := time.Now()
-	a, fresh := o.attempts.add(req, now)
-	if !fresh {
-		return repeated(a)
+	a, added := o.attempts.add(req, now)
+	if !added {
+		return resubmitResult(a)
 	}
 	o.meters.submitted.Inc(1)
 	if refusal := r.enqueue(a); refusal != nil {
@@ -134,14 +141,15 @@
 	return nil
 }
 
-// repeated answers a second Submit of the same attempt.
-func repeated(a *attempt) error {
+// resubmitResult returns the result of a second Submit of the same attempt.
+func resubmitResult(a *attempt) error {
 	if a.state() == stateWithdrawn {
 		return result.New(result.Withdrawn, "the attempt was withdrawn before it arrived")
 	}
 	return nil
 }
 
+// runner returns the runner of an owned group, or a NoOwner error.
 func (o *Owner) runner(group string) (*runner, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -154,7 +162,7 @@
 
 func notOwner(group string) *result.Error {
 	err := result.New(result.NoOwner, "this VM does not own group "+group)
-	err.RetryAfter = noOwnerRetry
+	err.RetryAfter = noOwnerRetryAfter
 	return err
 }
 
@@ -164,7 +172,7 @@
 	if !ok {
 		return nil, result.New(result.OwnerLost, "the attempt is not known here")
 	}
-	a.touch(time.Now())
+	a.recordPoll(time.Now())
 	ctx, cancel := context.WithTimeout(ctx, work.NextWait)
 	defer cancel()
 	return a.log.next(ctx, from), nil
@@ -178,10 +186,10 @@
 	if outcome != result.NotRun {
 		return outcome, nil
 	}
-	a.touch(now)
-	a.log.waive()
+	a.recordPoll(now)
+	a.log.markDelivered()
 	if r, err := o.runner(a.req.Group); err == nil {
-		r.remove(id)
+		r.dequeue(id)
 	}
 	return outcome, nil
 }
@@ -193,14 +201,15 @@
 		return nil
 	}
 	abandon(a, time.Now())
-	a.log.waive()
+	a.log.markDelivered()
 	if r, err := o.runner(a.req.Group); err == nil {
-		r.remove(id)
+		r.dequeue(id)
 	}
 	return nil
 }
 
-// LeaseGained implements lease.Listener: it starts running the group.
+// LeaseGained implements lease.Listener. It starts to run the group, in place of a runner from an earlier
+// lease.
 func (o *Owner) LeaseGained(grant lease.Grant) {
 	name, ok := groupOf(grant.Name)
 	if !ok {
@@ -222,11 +231,12 @@
 	if previous != nil {
 		previous.stop()
 	}
-	o.logGroup("group_owned", name, grant.Fencing)
+	o.logGroup("group_owned", "gained the lease of the group", name, grant.Fencing)
 	r.start()
 }
 
-// LeaseLost implements lease.Listener: waiting attempts are refused as not run, running ones go on.
+// LeaseLost implements lease.Listener. Queued attempts end as not run, running ones continue. It returns
+// once no eviction is in progress.
 func (o *Owner) LeaseLost(leaseName string) {
 	name, ok := groupOf(leaseName)
 	if !ok {
@@ -239,15 +249,15 @@
 	if r == nil {
 		return
 	}
-	o.logGroup("group_released", name, r.grant.Fencing)
+	o.logGroup("group_released", "lost the lease of the group", name, r.grant.Fencing)
 	r.stop()
 }
 
-func (o *Owner) logGroup(event, group string, fencing uint64) {
-	o.cfg.Log.WithFields(logrus.Fields{"event": event, "group": group, "fencing": fencing}).Info("")
+func (o *Owner) logGroup(event, message, group string, fencing uint64) {
+	o.cfg.Log.WithFields(logrus.Fields{"event": event, "group": group, "fencing": fencing}).Info(message)
 }
 
-// BundleChanged passes changed endpoints on to the groups that this VM owns.
+// BundleChanged applies the endpoints of a new bundle to the groups that this VM owns.
 func (o *Owner) BundleChanged(b *bundle.Bundle) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -256,5 +266,6 @@
 	}
 }
 
-// Busy returns the number of attempts that have not ended or whose answer still waits for its entry.
+// Busy returns the number of attempts that have not ended or whose entry VM may still be waiting for the
+// last events.
 func (o *Owner) Busy() int { return o.attempts.busy(time.Now()) }
--- a/pkg/owner/owner_test.go
+++ b/pkg/owner/owner_test.go
@@ -17,7 +17,7 @@
 func streamRequest(id string, adapter string) *work.Request {
 	return &work.Request{
 		ID:          work.AttemptID{Request: id},
-		Group:       benchGroup,
+		Group:       testGroup,
 		Account:     "north",
 		Weight:      1,
 		Class:       bundle.Interactive,
@@ -30,7 +30,7 @@
 	}
 }
 
-// collect follows the attempt to its last event.
+// collect polls the attempt's events up to the last one and returns them all.
 func collect(t *testing.T, o *Owner, id work.AttemptID) []work.Event {
 	t.Helper()
 	var all []work.Event
@@ -44,7 +44,8 @@
 	}
 }
 
-func text(events []work.Event) string {
+// joinData concatenates the data of the events.
+func joinData(events []work.Event) string {
 	var s []byte
 	for _, e := range events {
 		s = append(s, e.Data...)
@@ -52,18 +53,19 @@
 	return string(s)
 }
 
-// inBubble runs the test in virtual time and stops the bench at its end.
-func inBubble(t *testing.T, fencing bool, engines map[string]*fakeEngine, run func(t *testing.T, b *bench)) {
+// withFixture runs the test with a new fixture in a synctest bubble (virtual time) and stops the fixture at
+// its end.
+func withFixture(t *testing.T, fencing bool, engines map[string]*fakeEngine, run func(t *testing.T, b *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(fencing, engines)
+		b := newFixture(fencing, engines)
 		run(t, b)
 		b.stop()
 		synctest.Wait()
 	})
 }
 
-func TestStreamIsPassedOnWhole(t *testing.T) {
-	inBubble(t, true, map[string]*fakeEngine{"e1": newFakeEngine(2)}, func(t *testing.T, b *bench) {
+func TestStreamIsForwardedCompletely(t *testing.T) {
+	withFixture(t, true, map[string]*fakeEngine{"e1": newFakeEngine(2)}, func(t *testing.T, b *fixture) {
 		req := streamRequest("a", "math")
 		require.NoError(t, b.owner.Submit(t.Context(), req))
 		require.NoError(t, b.owner.Submit(t.Context(), req), "a repeated submit is idempotent")
@@ -71,7 +73,7 @@
 		require.Equal(t, work.Started, events[0].Kind)
 		require.Equal(t, "e1", events[0].Endpoint)
 		require.Equal(t, work.End, events[len(events)-1].Kind)
-		require.Equal(t, "12345", text(events))
+		require.Equal(t, "12345", joinData(events))
 		require.Equal(t, 1, b.engines["e1"].runs())
 	})
 }
@@ -79,20 +81,20 @@
 func TestCutStreamIsResumedAtTheNextEvent(t *testing.T) {
 	engine := newFakeEngine(2)
 	engine.cutAfter = 3
-	inBubble(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *bench) {
+	withFixture(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *fixture) {
 		req := streamRequest("a", "math")
 		require.NoError(t, b.owner.Submit(t.Context(), req))
 		events := collect(t, b.owner, req.ID)
 		require.Equal(t, work.End, events[len(events)-1].Kind)
-		require.Equal(t, "12345", text(events))
-		require.Equal(t, 1, engine.runs(), "resumed, not run again")
+		require.Equal(t, "12345", joinData(events))
+		require.Equal(t, 1, engine.runs(), "the stream is resumed, not run again")
 	})
 }
 
 func TestCrashEndsTheAttemptAsCrashed(t *testing.T) {
 	engine := newFakeEngine(2)
 	engine.crashAfter = 2
-	inBubble(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *bench) {
+	withFixture(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *fixture) {
 		req := streamRequest("a", "math")
 		require.NoError(t, b.owner.Submit(t.Context(), req))
 		events := collect(t, b.owner, req.ID)
@@ -104,13 +106,13 @@
 	})
 }
 
-func TestRequestThatCrashesEndpointsStopsAfterTwo(t *testing.T) {
+func TestCrashingRequestIsRefusedAfterTwoCrashes(t *testing.T) {
 	engines := map[string]*fakeEngine{}
 	for _, name := range []string{"e1", "e2", "e3"} {
 		engines[name] = newFakeEngine(2)
 		engines[name].crashAfter = 0
 	}
-	inBubble(t, true, engines, func(t *testing.T, b *bench) {
+	withFixture(t, true, engines, func(t *testing.T, b *fixture) {
 		refused := 0
 		for i := range 10 {
 			req := streamRequest("bad", "math")
@@ -132,14 +134,14 @@
 
 func TestWithdrawBeforeAndAfterStart(t *testing.T) {
 	engine := newFakeEngine(2)
-	inBubble(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *bench) {
+	withFixture(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *fixture) {
 		engine.hold = make(chan struct{})
 		never := work.AttemptID{Request: "never"}
 		outcome, err := b.owner.Withdraw(t.Context(), never)
 		require.NoError(t, err)
 		require.Equal(t, result.NotRun, outcome)
 		late := streamRequest("never", "math")
-		require.Error(t, b.owner.Submit(t.Context(), late), "the tombstone refuses a late arrival")
+		require.Error(t, b.owner.Submit(t.Context(), late), "a Submit after Withdraw is refused")
 		require.Zero(t, engine.runs())
 
 		req := streamRequest("a", "math")
@@ -150,16 +152,16 @@
 		require.NoError(t, err)
 		require.Equal(t, result.MayHaveRun, outcome)
 		close(engine.hold)
-		require.Equal(t, "12345", text(collect(t, b.owner, req.ID)))
+		require.Equal(t, "12345", joinData(collect(t, b.owner, req.ID)))
 		outcome, err = b.owner.Withdraw(t.Context(), req.ID)
 		require.NoError(t, err)
 		require.Equal(t, result.Ran, outcome)
 	})
 }
 
-func TestLostLeaseRefusesWaitingAndFinishesRunning(t *testing.T) {
+func TestLeaseLossRefusesQueuedAndFinishesRunning(t *testing.T) {
 	engine := newFakeEngine(1)
-	inBubble(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *bench) {
+	withFixture(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *fixture) {
 		engine.hold = make(chan struct{})
 		running := streamRequest("a", "math")
 		waiting := streamRequest("b", "physics")
@@ -168,17 +170,17 @@
 		require.NoError(t, b.owner.Submit(t.Context(), waiting))
 		time.Sleep(time.Second)
 		b.lessor.lapse()
-		b.owner.LeaseLost("group/" + benchGroup)
+		b.owner.LeaseLost("group/" + testGroup)
 		events := collect(t, b.owner, waiting.ID)
 		require.Equal(t, result.NotRun, events[0].Failure.Outcome)
 		close(engine.hold)
-		require.Equal(t, "12345", text(collect(t, b.owner, running.ID)))
+		require.Equal(t, "12345", joinData(collect(t, b.owner, running.ID)))
 	})
 }
 
-func TestLapsedRightSendsNothing(t *testing.T) {
+func TestNothingIsSentAfterLeaseLapse(t *testing.T) {
 	engine := newFakeEngine(2)
-	inBubble(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *bench) {
+	withFixture(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *fixture) {
 		first := streamRequest("a", "math")
 		require.NoError(t, b.owner.Submit(t.Context(), first))
 		collect(t, b.owner, first.ID)
@@ -192,9 +194,9 @@
 	})
 }
 
-func TestColdRestartLoadsAgain(t *testing.T) {
+func TestAdapterIsReloadedAfterEngineRestart(t *testing.T) {
 	engine := newFakeEngine(2)
-	inBubble(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *bench) {
+	withFixture(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *fixture) {
 		first := streamRequest("a", "math")
 		require.NoError(t, b.owner.Submit(t.Context(), first))
 		collect(t, b.owner, first.ID)
@@ -203,13 +205,13 @@
 		time.Sleep(2 * reportInterval)
 		second := streamRequest("b", "math")
 		require.NoError(t, b.owner.Submit(t.Context(), second))
-		require.Equal(t, "12345", text(collect(t, b.owner, second.ID)))
+		require.Equal(t, "12345", joinData(collect(t, b.owner, second.ID)))
 	})
 }
 
 func TestEvictionIsRecordedForEndpointsThatIgnoreFencing(t *testing.T) {
 	engine := newFakeEngine(1)
-	inBubble(t, false, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *bench) {
+	withFixture(t, false, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *fixture) {
 		first := streamRequest("a", "math")
 		require.NoError(t, b.owner.Submit(t.Context(), first))
 		collect(t, b.owner, first.ID)
@@ -220,7 +222,7 @@
 		require.NoError(t, b.owner.Submit(t.Context(), second))
 		time.Sleep(time.Second)
 		engine.mu.Lock()
-		require.Empty(t, engine.unloads, "no eviction without its record")
+		require.Empty(t, engine.unloads, "no eviction is ordered without its record")
 		engine.mu.Unlock()
 		b.table.mu.Lock()
 		b.table.down = false
@@ -229,16 +231,16 @@
 		time.Sleep(time.Minute)
 		third := streamRequest("c", "physics")
 		require.NoError(t, b.owner.Submit(t.Context(), third))
-		require.Equal(t, "12345", text(collect(t, b.owner, third.ID)))
+		require.Equal(t, "12345", joinData(collect(t, b.owner, third.ID)))
 		require.Len(t, engine.unloads, 1)
-		require.Empty(t, b.table.rows, "the record goes once the endpoint has answered")
+		require.Empty(t, b.table.rows, "the record is deleted once the endpoint has responded")
 	})
 }
 
-func TestFormerOwnersEvictionIsAvoidedUntilItIsGone(t *testing.T) {
+func TestAdapterIsAvoidedUntilEvictingOwnerIsProvenGone(t *testing.T) {
 	engine := newFakeEngine(2)
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(false, map[string]*fakeEngine{"e1": engine})
+		b := newFixture(false, map[string]*fakeEngine{"e1": engine})
 		defer func() {
 			b.stop()
 			synctest.Wait()
@@ -258,8 +260,8 @@
 		require.NoError(t, b.owner.Submit(t.Context(), req))
 		time.Sleep(2 * time.Second)
 		require.Zero(t, engine.runs(), "a delayed eviction may still arrive")
-		b.members.prove("vm-0")
-		require.Equal(t, "12345", text(collect(t, b.owner, req.ID)))
+		b.members.proveGone("vm-0")
+		require.Equal(t, "12345", joinData(collect(t, b.owner, req.ID)))
 		time.Sleep(2 * evictionPollInterval)
 		b.table.mu.Lock()
 		defer b.table.mu.Unlock()
@@ -267,38 +269,40 @@
 	})
 }
 
-func TestStallsAreCounted(t *testing.T) {
-	inBubble(t, true, map[string]*fakeEngine{"e1": newFakeEngine(2)}, func(t *testing.T, b *bench) {
+func TestLoadStallsAreCounted(t *testing.T) {
+	withFixture(t, true, map[string]*fakeEngine{"e1": newFakeEngine(2)}, func(t *testing.T, b *fixture) {
 		for _, id := range []string{"a", "b"} {
 			req := streamRequest(id, "math")
 			require.NoError(t, b.owner.Submit(t.Context(), req))
 			collect(t, b.owner, req.ID)
 		}
-		require.EqualValues(t, 1, b.owner.meters.stalls.Count(), "the second finds the adapter loaded")
+		require.EqualValues(t, 1, b.owner.meters.stalls.Count(), "the second request finds the adapter loaded")
 		require.EqualValues(t, 2, b.owner.meters.accountWait("north").Count())
 	})
 }
 
-// TestStreamIsResumedByANewOwner resumes a stream at an owner that has not heard of the endpoint yet.
+// TestStreamIsResumedByANewOwner resumes a stream at an owner that has not received a load report from
+// the endpoint yet, and so does not know that the adapter is loaded there.
 func TestStreamIsResumedByANewOwner(t *testing.T) {
 	engine := newFakeEngine(2)
 	engine.loaded[endpoint.AdapterVersion{Adapter: "math", Version: "v1"}] = true
 	engine.reportDelay = reportTimeout / 2
-	inBubble(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *bench) {
+	withFixture(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *fixture) {
 		req := streamRequest("a", "math")
 		req.Resume = &work.Resume{Endpoint: "e1", EngineID: "a.1", Next: 3}
 		require.NoError(t, b.owner.Submit(t.Context(), req))
 		events := collect(t, b.owner, req.ID)
 		require.Equal(t, work.End, events[len(events)-1].Kind)
-		require.Equal(t, "45", text(events))
+		require.Equal(t, "45", joinData(events))
 	})
 }
 
-// TestLostLeaseWaitsForEvictions has a lease handed over while an eviction is under way. The next
-// owner must not start before the endpoint has answered it.
-func TestLostLeaseWaitsForEvictions(t *testing.T) {
+// TestLeaseLossWaitsForEvictions loses the lease while an eviction is in progress. LeaseLost must not return
+// before the endpoint has responded: an eviction that arrived after the next owner's start could remove an
+// adapter in use.
+func TestLeaseLossWaitsForEvictions(t *testing.T) {
 	engine := newFakeEngine(1)
-	inBubble(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *bench) {
+	withFixture(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *fixture) {
 		first := streamRequest("a", "math")
 		require.NoError(t, b.owner.Submit(t.Context(), first))
 		collect(t, b.owner, first.ID)
@@ -306,26 +310,26 @@
 		engine.unloadTime = time.Second
 		engine.mu.Unlock()
 		require.NoError(t, b.owner.Submit(t.Context(), streamRequest("b", "physics")))
-		time.Sleep(unloadHalfway)
-		b.owner.LeaseLost("group/" + benchGroup)
+		time.Sleep(midUnload)
+		b.owner.LeaseLost("group/" + testGroup)
 		engine.mu.Lock()
 		defer engine.mu.Unlock()
 		require.Len(t, engine.unloads, 1)
 	})
 }
 
-// TestCutAfterHandoverIsNoCrash has a plain answer cut after the group was given up. The engine still
-// answers, so that the request must not be held for a crash.
-func TestCutAfterHandoverIsNoCrash(t *testing.T) {
+// TestCutAfterHandoverIsNotReportedAsCrash breaks a non-streamed response after the lease was lost. The engine
+// still responds, so the failure must not be counted as a crash caused by the request.
+func TestCutAfterHandoverIsNotReportedAsCrash(t *testing.T) {
 	engine := newFakeEngine(1)
 	engine.cutAfter = 2
-	inBubble(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *bench) {
+	withFixture(t, true, map[string]*fakeEngine{"e1": engine}, func(t *testing.T, b *fixture) {
 		engine.hold = make(chan struct{})
 		req := streamRequest("a", "math")
 		req.Call.Stream = false
 		require.NoError(t, b.owner.Submit(t.Context(), req))
 		time.Sleep(time.Second)
-		b.owner.LeaseLost("group/" + benchGroup)
+		b.owner.LeaseLost("group/" + testGroup)
 		close(engine.hold)
 		events := collect(t, b.owner, req.ID)
 		last := events[len(events)-1]
--- a/pkg/owner/rpc.go
+++ b/pkg/owner/rpc.go
@@ -15,24 +15,24 @@
 const ServiceName = "Work"
 
 const (
-	// callTimeout bounds a call to the owner.
+	// callTimeout bounds a call to a remote owner, except Next.
 	callTimeout = 3 * time.Second
-	// nextTimeout bounds a call of Next, which waits for events.
+	// nextTimeout bounds a call of Next, which waits for events at the owner.
 	nextTimeout = callTimeout + work.NextWait
 )
 
-// Target names the process that a call is meant for. Another incarnation refuses it.
+// Target identifies the process that a call is meant for. A process of another incarnation refuses the call.
 type Target struct {
 	Incarnation string
 }
 
-// Fault carries a *result.Error over net/rpc. Code 0 means that there is none.
+// Fault carries a *result.Error over net/rpc. Code 0 means no error.
 type Fault struct {
 	Code       result.Code
 	Outcome    result.Outcome
 	Detail     string
 	RetryAfter time.Duration
-	// WrongTarget says that another incarnation was meant.
+	// WrongTarget means that the call was refused because it was meant for another incarnation.
 	WrongTarget bool
 }
 
@@ -67,13 +67,13 @@
 	Fault   Fault
 }
 
-// Service offers an Owner to other VMs.
+// Service makes a work.Owner available to other VMs over net/rpc.
 type Service struct {
 	owner       work.Owner
 	incarnation string
 }
 
-// NewService returns the net/rpc service of the owner in this incarnation.
+// NewService returns the net/rpc service of owner. It refuses calls for other incarnations.
 func NewService(owner work.Owner, incarnation string) *Service {
 	return &Service{owner: owner, incarnation: incarnation}
 }
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// Next waits for events of an attempt.
+// Next waits for events of an attempt and returns them.
 func (s *Service) Next(args NextArgs, reply *NextReply) error {
 	fault, ok := s.check(args.Target)
 	if !ok {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// Withdraw refuses an attempt that has not started.
+// Withdraw ends an attempt that has not started and returns the outcome known so far.
 func (s *Service) Withdraw(args AttemptArgs, reply *WithdrawReply) error {
 	fault, ok := s.check(args.Target)
 	if !ok {
@@ -144,7 +144,7 @@
 	return Fault{Code: known.Code, Outcome: known.Outcome, Detail: known.Detail, RetryAfter: known.RetryAfter}
 }
 
-// ErrWrongTarget says that another incarnation answers at the owner's address.
+// ErrWrongTarget means that another incarnation responded at the owner's address.
 var ErrWrongTarget = errors.New("owner: another incarnation answers")
 
 func (f Fault) err() error {
@@ -157,7 +157,7 @@
 	return &result.Error{Code: f.Code, Outcome: f.Outcome, Detail: f.Detail, RetryAfter: f.RetryAfter}
 }
 
-// remote is a work.Owner at another VM, in one incarnation.
+// remote is a client of the work.Owner in one incarnation of another VM.
 type remote struct {
 	caller  peer.Caller
 	address string
--- a/pkg/owner/runner.go
+++ b/pkg/owner/runner.go
@@ -19,31 +19,31 @@
 )
 
 const (
-	// reportWait bounds the time for which a stream's resumption waits for its endpoint's first report.
-	reportWait = 3 * time.Second
-	reportPoll = 10 * time.Millisecond
+	// firstReportTimeout bounds how long an attempt to resume a stream waits for its endpoint's first load report.
+	firstReportTimeout      = 3 * time.Second
+	firstReportPollInterval = 10 * time.Millisecond
 )
 
-// runner runs one group for as long as this VM holds its lease.
+// runner runs one group while this VM holds its lease. It connects the group's scheduler to the endpoints.
 type runner struct {
 	owner *Owner
 	group string
 	grant lease.Grant
-	// ctx ends when the group is given up.
+	// ctx ends when the runner stops.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// evictions counts the evictions that are under way.
+	// evictions counts the evictions in progress.
 	evictions sync.WaitGroup
 
 	// mu guards the fields below. It is never held during I/O.
 	mu        sync.Mutex
 	sched     scheduler.Scheduler
 	endpoints map[string]*link
-	// loaded is when each adapter version was last loaded by this runner.
-	loaded  map[endpoint.AdapterVersion]time.Time
-	wake    *time.Timer
-	stopped bool
-	// ready says that the former owners' pending evictions are known. Until then the group has no
+	// loadedAt is when each adapter version was last loaded by this runner.
+	loadedAt  map[endpoint.AdapterVersion]time.Time
+	wakeTimer *time.Timer
+	stopped   bool
+	// ready is true once the former owners' pending evictions are known. Until then the group has no
 	// endpoints.
 	ready bool
 }
@@ -59,39 +59,40 @@
 		cancel:    cancel,
 		sched:     o.cfg.NewScheduler(group, o.cfg.Permits, rng),
 		endpoints: map[string]*link{},
-		loaded:    map[endpoint.AdapterVersion]time.Time{},
+		loadedAt:  map[endpoint.AdapterVersion]time.Time{},
 	}
-	r.wake = time.AfterFunc(time.Hour, func() { r.step(nil) })
+	r.wakeTimer = time.AfterFunc(time.Hour, func() { r.step(nil) })
 	return r
 }
 
+// groupOf returns the group whose lease has the given name, and false if the lease is not of a group.
 func groupOf(leaseName string) (string, bool) {
 	return strings.CutPrefix(leaseName, lease.GroupPrefix)
 }
 
-// start takes the group over. The scheduler learns of the endpoints together with the evictions that
-// former owners may have ordered, so that nothing is dispatched in between.
+// start takes over the group in the background. The scheduler receives the endpoints and the former owners'
+// pending evictions in one step, so that no attempt is dispatched before the evictions are known.
 func (r *runner) start() {
 	go func() {
 		pending := r.pendingEvictions()
 		b := r.owner.cfg.Source.Current()
-		specs := r.specs(b)
+		specs := r.endpointSpecs(b)
 		r.step(func(now time.Time) {
 			r.ready = true
-			r.connect(b)
+			r.updateLinks(b)
 			r.sched.SetEndpoints(now, specs)
 			r.sched.TakenOver(now, r.grant.PreviousProvenGone)
 			for _, e := range pending {
 				r.sched.AvoidAdapter(e.record.Endpoint, e.record.Adapter)
 			}
 		})
-		r.awaitProvenGone(pending)
+		r.allowOnceProvenGone(pending)
 	}()
 }
 
-// ignoresFencing reports whether an endpoint of the group does not check fencing numbers.
-func (r *runner) ignoresFencing() bool {
-	for _, spec := range r.specs(r.owner.cfg.Source.Current()) {
+// hasEndpointIgnoringFencing reports whether an engine of the group does not check fencing numbers.
+func (r *runner) hasEndpointIgnoringFencing() bool {
+	for _, spec := range r.endpointSpecs(r.owner.cfg.Source.Current()) {
 		if !spec.ChecksFencing && !spec.Service {
 			return true
 		}
@@ -99,13 +100,13 @@
 	return false
 }
 
-// stop gives the group up: waiting attempts end as not run, running ones are followed to their end.
-// It returns once no eviction is under way, so that none can arrive after the next owner's start.
+// stop stops running the group: queued attempts end as not run, and running ones continue to their end. It
+// returns once no eviction is in progress, so that none can arrive after the next owner has started.
 func (r *runner) stop() {
 	defer r.evictions.Wait()
 	r.mu.Lock()
 	r.stopped = true
-	r.wake.Stop()
+	r.wakeTimer.Stop()
 	r.mu.Unlock()
 	r.cancel()
 	now := time.Now()
@@ -116,42 +117,44 @@
 	}
 }
 
-// held reports whether this VM still has the right to send the group work and orders.
-func (r *runner) held() bool {
+// holdsLease reports whether this VM still holds the lease under which the runner started, and so may send
+// work and orders to the group.
+func (r *runner) holdsLease() bool {
 	grant, ok := r.owner.cfg.Lessor.Held(r.grant.Name)
 	return ok && grant.Fencing == r.grant.Fencing
 }
 
-// step tells the scheduler something, if tell is not nil, and carries out what it then decides.
-func (r *runner) step(tell func(now time.Time)) {
+// step calls update, if it is not nil, to report something to the scheduler, and performs the actions that
+// the scheduler then decides on. It does nothing once the runner has stopped.
+func (r *runner) step(update func(now time.Time)) {
 	r.mu.Lock()
 	if r.stopped {
 		r.mu.Unlock()
 		return
 	}
 	now := time.Now()
-	if tell != nil {
-		tell(now)
+	if update != nil {
+		update(now)
 	}
 	started := time.Now()
 	actions := r.sched.Decide(now)
 	r.owner.meters.decide.UpdateSince(started)
-	r.setWake(now)
+	r.resetWakeTimer(now)
 	links := r.linksOf(actions)
 	r.mu.Unlock()
 	for i, action := range actions {
-		r.carryOut(action, links[i])
+		r.perform(action, links[i])
 	}
 }
 
-// setWake arms the timer for the scheduler's next deadline. The caller holds r.mu.
-func (r *runner) setWake(now time.Time) {
+// resetWakeTimer sets the timer to the scheduler's next deadline. The caller holds r.mu.
+func (r *runner) resetWakeTimer(now time.Time) {
 	next := r.sched.NextWake()
 	if next.IsZero() {
-		r.wake.Stop()
+		r.wakeTimer.Stop()
 		return
 	}
-	r.wake.Reset(max(next.Sub(now), time.Millisecond))
+	r.wakeTimer.Reset(max(next.Sub(now), time.Millisecond))
 }
 
 // linksOf returns the link of each action's endpoint. The caller holds r.mu.
@@ -163,7 +166,7 @@
 	return links
 }
 
-func (r *runner) carryOut(action scheduler.Action, l *link) {
+func (r *runner) perform(action scheduler.Action, l *link) {
 	switch action.Kind {
 	case scheduler.Dispatch:
 		r.dispatch(action.ID, l)
@@ -180,36 +183,38 @@
 	}
 }
 
-// enqueue passes a new attempt to the scheduler. One that resumes a stream waits until its endpoint
-// has reported: until then a new owner does not know that the stream's adapter is there.
+// enqueue passes an attempt to the scheduler. One that resumes a stream first waits for its endpoint's load
+// report, because until then a new owner does not know that the stream's adapter is loaded there.
 func (r *runner) enqueue(a *attempt) *result.Error {
-	if a.req.Resume != nil && !r.reportedBy(a.req.Resume.Endpoint) {
-		go r.enqueueReported(a)
+	if a.req.Resume != nil && !r.hasReportFrom(a.req.Resume.Endpoint) {
+		go r.enqueueAfterReport(a)
 		return nil
 	}
 	return r.enqueueNow(a)
 }
 
-// reportedBy reports whether the endpoint has sent this runner a load report.
-func (r *runner) reportedBy(name string) bool {
+// hasReportFrom reports whether this runner has received a load report from the endpoint.
+func (r *runner) hasReportFrom(name string) bool {
 	r.mu.Lock()
 	l := r.endpoints[name]
 	r.mu.Unlock()
 	return l != nil && l.currentIncarnation() != ""
 }
 
-// enqueueReported enqueues the attempt once its endpoint has reported or reportWait has passed.
-func (r *runner) enqueueReported(a *attempt) {
-	for waited := time.Duration(0); waited < reportWait && !r.reportedBy(a.req.Resume.Endpoint); waited += reportPoll {
-		if !clock.Sleep(r.ctx, reportPoll) {
+// enqueueAfterReport enqueues the attempt once its endpoint's load report has been received or
+// firstReportTimeout has passed.
+func (r *runner) enqueueAfterReport(a *attempt) {
+	name := a.req.Resume.Endpoint
+	for waited := time.Duration(0); waited < firstReportTimeout && !r.hasReportFrom(name); waited += firstReportPollInterval {
+		if !clock.Sleep(r.ctx, firstReportPollInterval) {
 			return
 		}
 	}
-	refuseIf(a, r.enqueueNow(a))
+	refuseOnError(a, r.enqueueNow(a))
 }
 
 func (r *runner) enqueueNow(a *attempt) *result.Error {
-	item, refusal := r.item(a)
+	item, refusal := r.schedulerItem(a)
 	if refusal != nil {
 		return refusal
 	}
@@ -218,20 +223,21 @@
 	return refusal
 }
 
-// requeue queues an attempt again that the endpoint did not run.
+// requeue queues an attempt again after the endpoint did not run it.
 func (r *runner) requeue(a *attempt) {
-	refuseIf(a, r.enqueue(a))
+	refuseOnError(a, r.enqueue(a))
 }
 
-// refuseIf ends the attempt if it was refused.
-func refuseIf(a *attempt, refusal *result.Error) {
+// refuseOnError ends the attempt with the refusal, if there is one.
+func refuseOnError(a *attempt, refusal *result.Error) {
 	if refusal != nil {
 		a.refuse(time.Now(), refusal)
 	}
 }
 
-// item describes the attempt to the scheduler.
-func (r *runner) item(a *attempt) (scheduler.Item, *result.Error) {
+// schedulerItem returns the scheduler's description of the attempt, or an error if the request is refused as a
+// suspect.
+func (r *runner) schedulerItem(a *attempt) (scheduler.Item, *result.Error) {
 	req := a.req
 	item := scheduler.Item{
 		ID:         req.ID,
@@ -249,32 +255,34 @@
 		item.Endpoint = req.Resume.Endpoint
 		return item, nil
 	}
-	return item, r.admitSuspect(time.Now(), req.Fingerprint, &item)
+	return item, r.checkSuspect(time.Now(), req.Fingerprint, &item)
 }
 
-// remove takes an attempt that has ended out of the queue.
-func (r *runner) remove(id work.AttemptID) {
+// dequeue removes an attempt that has ended from the scheduler's queue.
+func (r *runner) dequeue(id work.AttemptID) {
 	r.step(func(now time.Time) { r.sched.Remove(now, id) })
 }
 
-// finished tells the scheduler that a dispatched attempt has ended.
-func (r *runner) finished(id work.AttemptID, used int64, refused error) {
+// notifyFinished reports to the scheduler that a dispatched attempt has ended. A refused error that is not nil
+// means that the endpoint did not run it.
+func (r *runner) notifyFinished(id work.AttemptID, used int64, refused error) {
 	r.step(func(now time.Time) { r.sched.Finished(now, id, used, refused) })
 }
 
-// setEndpoints takes the group's endpoints from the bundle.
+// setEndpoints applies the group's endpoints in the bundle. Before the runner is ready it does nothing:
+// start applies the bundle itself.
 func (r *runner) setEndpoints(b *bundle.Bundle) {
-	specs := r.specs(b)
+	specs := r.endpointSpecs(b)
 	r.step(func(now time.Time) {
 		if !r.ready {
 			return
 		}
-		r.connect(b)
+		r.updateLinks(b)
 		r.sched.SetEndpoints(now, specs)
 	})
 }
 
-func (r *runner) specs(b *bundle.Bundle) []scheduler.EndpointSpec {
+func (r *runner) endpointSpecs(b *bundle.Bundle) []scheduler.EndpointSpec {
 	kind := b.Groups[r.group].Kind
 	var specs []scheduler.EndpointSpec
 	for _, e := range b.EndpointsOf(r.group) {
@@ -290,8 +298,9 @@
 	return specs
 }
 
-// connect makes links to new endpoints and drops those to removed ones. The caller holds r.mu.
-func (r *runner) connect(b *bundle.Bundle) {
+// updateLinks creates links to new endpoints and closes those to endpoints that were removed or have another URL.
+// The caller holds r.mu.
+func (r *runner) updateLinks(b *bundle.Bundle) {
 	kept := map[string]*link{}
 	for _, e := range b.EndpointsOf(r.group) {
 		l, ok := r.endpoints[e.Name]
--- a/pkg/owner/snapshot.go
+++ b/pkg/owner/snapshot.go
@@ -15,7 +15,7 @@
 	Scheduler scheduler.Snapshot `json:"scheduler"`
 }
 
-// AttemptState describes one open attempt for the state dump.
+// AttemptState describes one attempt that has not ended, for the state dump.
 type AttemptState struct {
 	Request  string `json:"request"`
 	Attempt  int    `json:"attempt"`
@@ -27,16 +27,16 @@
 	Unread   int    `json:"unread_bytes"`
 }
 
-// State is what this VM's owner holds.
+// State describes an Owner for the state dump.
 type State struct {
 	Groups   []GroupState   `json:"groups"`
 	Attempts []AttemptState `json:"attempts"`
 }
 
-// Snapshot describes the owned groups and the open attempts.
+// Snapshot returns the state of the owned groups and of the attempts that have not ended.
 func (o *Owner) Snapshot() State {
 	state := State{Groups: []GroupState{}, Attempts: []AttemptState{}}
-	for _, r := range o.list() {
+	for _, r := range o.sortedRunners() {
 		state.Groups = append(state.Groups, r.snapshot())
 	}
 	for _, a := range o.attempts.open() {
@@ -46,7 +46,8 @@
 	return state
 }
 
-func (o *Owner) list() []*runner {
+// sortedRunners returns the runners of the owned groups, sorted by group name.
+func (o *Owner) sortedRunners() []*runner {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var list []*runner
@@ -64,7 +65,7 @@
 }
 
 func (a *attempt) snapshot() AttemptState {
-	unread := a.log.unread()
+	unread := a.log.unreadBytes()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	state := AttemptState{
--- a/pkg/owner/suspects.go
+++ b/pkg/owner/suspects.go
@@ -8,19 +8,19 @@
 	"github.com/mallowlink/mallowlink/pkg/suspect"
 )
 
-// Suspects keeps count of the crashes of endpoints by the fingerprints that ran on them.
-// *suspect.Table implements it.
+// Suspects counts endpoint crashes for each request fingerprint that was running when they occurred, so that
+// a request that crashes endpoints is stopped. *suspect.Table implements it.
 type Suspects interface {
 	Admit(now time.Time, fingerprint uint64) (suspect.Decision, time.Duration)
 	Endpoints(fingerprint uint64) []string
 	Started(now time.Time, fingerprint uint64, endpoint string) bool
-	Ended(now time.Time, fingerprint uint64, endpoint string, whole bool)
+	Ended(now time.Time, fingerprint uint64, endpoint string, completed bool)
 	CrashSeen(now time.Time, fingerprint uint64, crash string) int
 }
 
-// admitSuspect refuses a fingerprint that has crashed too many endpoints, and restricts the item's
-// endpoints if a further crash would be one too many.
-func (r *runner) admitSuspect(now time.Time, fingerprint uint64, item *scheduler.Item) *result.Error {
+// checkSuspect refuses a fingerprint that has crashed too many endpoints. If one more crash would be too many,
+// it restricts the endpoints on which the item may run.
+func (r *runner) checkSuspect(now time.Time, fingerprint uint64, item *scheduler.Item) *result.Error {
 	decision, after := r.owner.cfg.Suspects.Admit(now, fingerprint)
 	switch decision {
 	case suspect.Refuse:
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// pin sends the item to an endpoint on which a copy of it runs.
+// pin restricts the item to an endpoint that already runs a copy of the request, if there is one.
 func (r *runner) pin(fingerprint uint64, item *scheduler.Item) {
 	running := r.owner.cfg.Suspects.Endpoints(fingerprint)
 	if len(running) > 0 {
@@ -43,17 +43,18 @@
 	}
 }
 
-// startSuspect counts the attempt as running on the link. If that could cost one endpoint too many,
-// the attempt goes back to the queue, where it is restricted or refused, and false is returned.
-func (r *runner) startSuspect(a *attempt, l *link) bool {
+// recordStart records with Suspects that the attempt runs on the link's endpoint. If that could crash one endpoint
+// too many, the attempt is returned to the queue, where it is restricted or refused, and recordStart reports
+// false.
+func (r *runner) recordStart(a *attempt, l *link) bool {
 	if r.owner.cfg.Suspects.Started(time.Now(), a.req.Fingerprint, l.spec.Name) {
 		return true
 	}
-	if a.returned() {
-		r.finished(a.req.ID, 0, errSuspectRuns)
+	if a.markQueued() {
+		r.notifyFinished(a.req.ID, 0, errCopyRunning)
 		r.requeue(a)
 		return false
 	}
-	r.finished(a.req.ID, 0, nil)
+	r.notifyFinished(a.req.ID, 0, nil)
 	return false
 }
