--- a/pkg/endpoint/rest/sse/bench_test.go
+++ b/pkg/endpoint/rest/sse/bench_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// BenchmarkParser parses a stream of 1000 completion events, each with 200 bytes of content.
 func BenchmarkParser(b *testing.B) {
 	const events = 1000
 	var stream strings.Builder
@@ -28,7 +29,7 @@
 			n++
 		}
 		if n != events {
-			b.Fatalf("%d events", n)
+			b.Fatalf("parsed %d events, want %d", n, events)
 		}
 	}
 }
--- a/pkg/endpoint/rest/sse/parser.go
+++ b/pkg/endpoint/rest/sse/parser.go
@@ -1,4 +1,4 @@
-// Package sse reads streams of server-sent events.
+// Package sse parses streams of server-sent events.
 package sse
 
 import (
@@ -10,50 +10,56 @@
 	"github.com/go-faster/errors"
 )
 
-// EndMarker is the data of the event that ends a whole stream of the OpenAI protocol.
+// EndMarker is the data of the event that ends a complete stream in the OpenAI protocol.
 const EndMarker = "[DONE]"
 
-// ErrTooLarge says that an event is larger than the parser's limit.
+// ErrTooLarge is returned for an event that is larger than the parser's limit.
 var ErrTooLarge = errors.New("sse: event too large")
 
-// lineBuffer is the size of the reader's buffer. Longer lines are put together from pieces.
-const lineBuffer = 4 << 10 // bytes
+// readBufferSize is the size of the buffer between the parser and its reader. Lines may be longer.
+const readBufferSize = 4 << 10 // bytes
 
 // Event is one server-sent event.
 type Event struct {
-	// Name is the event field; empty for the default.
+	// Name is the value of the "event" field; empty if the event has none.
 	Name string
+	// Data is the event's "data" lines, joined by LF.
 	Data []byte
-	// ID is set if Numbered.
-	ID       uint64
+	// ID is the value of the "id" field; valid only if Numbered is set.
+	ID uint64
+	// Numbered is set if the event has an "id" field that is a decimal number.
 	Numbered bool
 }
 
 // Parser reads server-sent events as the HTML standard defines them: lines end in LF, CRLF or CR,
 // the data lines of one event are joined by LF, comments and unknown fields are skipped, and an
-// event that the end of the stream interrupts is dropped.
+// incomplete event at the end of the stream is dropped. A Parser is not safe for concurrent use.
 type Parser struct {
 	reader *bufio.Reader
-	limit  int
-	// skipLF says that the last line ended in CR, so that a following LF belongs to it.
+	// maxEvent limits the total size of the lines of one event, in bytes.
+	maxEvent int
+	// skipLF is set if the last line ended in CR: a following LF belongs to the same line end.
 	skipLF bool
-	begun  bool
-	// buf holds the current line.
-	buf []byte
+	// started is set once the first line, which may begin with a byte order mark, was read.
+	started bool
+	// lineBuf holds the current line; the next one overwrites it.
+	lineBuf []byte
 }
 
-// NewParser returns a parser that refuses events of more than limit bytes.
+// NewParser returns a parser of the stream r. Events whose lines hold more than limit bytes fail with
+// ErrTooLarge.
 func NewParser(r io.Reader, limit int) *Parser {
-	return &Parser{reader: bufio.NewReaderSize(r, lineBuffer), limit: limit}
+	return &Parser{reader: bufio.NewReaderSize(r, readBufferSize), maxEvent: limit}
 }
 
-// Next returns the next event with data. It fails with ErrTooLarge or the reader's error.
+// Next returns the next event that has data. It returns ErrTooLarge for an event over the limit, and otherwise
+// the reader's error: io.EOF at the end of the stream.
 func (p *Parser) Next() (Event, error) {
 	var ev Event
 	hasData := false
 	size := 0
 	for {
-		line, err := p.line(p.limit - size)
+		line, err := p.readLine(p.maxEvent - size)
 		if err != nil {
 			return Event{}, err
 		}
@@ -65,7 +71,7 @@
 			continue
 		}
 		size += len(line)
-		name, value := field(line)
+		name, value := splitField(line)
 		switch string(name) {
 		case "data":
 			if !hasData {
@@ -84,15 +90,17 @@
 	}
 }
 
-// field splits a line into the field's name and value. A comment has an empty name.
-func field(line []byte) (name, value []byte) {
+// splitField splits a line into the name and value of its field. Comment lines begin with a colon, so that their
+// name is empty.
+func splitField(line []byte) (name, value []byte) {
 	name, value, _ = bytes.Cut(line, []byte(":"))
 	return name, bytes.TrimPrefix(value, []byte(" "))
 }
 
-// line returns the next line without its end. The line is valid until the next call.
-func (p *Parser) line(limit int) ([]byte, error) {
-	p.buf = p.buf[:0]
+// readLine returns the next line without its line end, or ErrTooLarge if the line is longer than limit bytes.
+// The returned slice is valid until the next call.
+func (p *Parser) readLine(limit int) ([]byte, error) {
+	p.lineBuf = p.lineBuf[:0]
 	for {
 		c, err := p.reader.ReadByte()
 		if err != nil {
@@ -104,21 +112,21 @@
 			continue
 		case c == '\n' || c == '\r':
 			p.skipLF = c == '\r'
-			return p.trimBOM(p.buf), nil
+			return p.trimBOM(p.lineBuf), nil
 		}
 		p.skipLF = false
-		if len(p.buf) >= limit {
+		if len(p.lineBuf) >= limit {
 			return nil, ErrTooLarge
 		}
-		p.buf = append(p.buf, c)
+		p.lineBuf = append(p.lineBuf, c)
 	}
 }
 
-// trimBOM removes a byte order mark from the first line.
+// trimBOM removes the byte order mark if line is the first line of the stream and begins with one.
 func (p *Parser) trimBOM(line []byte) []byte {
-	if p.begun {
+	if p.started {
 		return line
 	}
-	p.begun = true
+	p.started = true
 	return bytes.TrimPrefix(line, []byte("\xef\xbb\xbf"))
 }
--- a/pkg/endpoint/rest/sse/parser_test.go
+++ b/pkg/endpoint/rest/sse/parser_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// naiveEvents parses a whole stream at once.
-func naiveEvents(stream string) []string {
+// referenceEvents is a simple parser of a complete stream, against which FuzzParser compares Parser.
+func referenceEvents(stream string) []string {
 	stream = strings.TrimPrefix(stream, "\xef\xbb\xbf")
 	stream = strings.NewReplacer("\r\n", "\n", "\r", "\n").Replace(stream)
 	lines := strings.Split(stream, "\n")
@@ -43,6 +43,7 @@
 	}
 }
 
+// FuzzParser compares the events of Parser with those of referenceEvents.
 func FuzzParser(f *testing.F) {
 	for _, seed := range []string{
 		"data: a\n\n", "id: 3\r\ndata: a\r\ndata:b\r\n\r\n", "data\n\ndata\n\n", ": c\rdata: x\r\r",
@@ -53,11 +54,12 @@
 	f.Fuzz(func(t *testing.T, stream []byte) {
 		events, err := parseAll(stream, len(stream)+1)
 		require.Error(t, err)
-		require.Equal(t, naiveEvents(string(stream)), events)
+		require.Equal(t, referenceEvents(string(stream)), events)
 	})
 }
 
-func TestParserBoundsEvents(t *testing.T) {
+// TestEventTooLarge checks that the limit applies to one line, to all lines of one event, and to comments.
+func TestEventTooLarge(t *testing.T) {
 	events, err := parseAll([]byte("data: 12\n\ndata: 123\n\n"), 8)
 	require.ErrorIs(t, err, ErrTooLarge)
 	require.Equal(t, []string{"12"}, events)
--- a/pkg/endpoint/rest/wire/wire.go
+++ b/pkg/endpoint/rest/wire/wire.go
@@ -1,21 +1,22 @@
-// Package wire holds the paths, headers and JSON messages that model engines and plain services
-// speak beside the OpenAI protocol.
+// Package wire declares the paths, headers and JSON messages that model engines and plain services
+// support in addition to the OpenAI protocol.
 package wire
 
-// Headers.
+// HTTP header fields.
 const (
-	// RequestID carries the identifier of the attempt, both ways.
+	// RequestID carries the identifier of the attempt. The endpoint returns it in the response.
 	RequestID = "X-Request-Id"
 	// Priority carries the request's priority; lower numbers run first.
 	Priority = "X-Priority"
-	// Incarnation is the engine's incarnation, in every answer of an engine.
+	// Incarnation carries the engine's incarnation in every response of an engine. It changes when the engine
+	// restarts.
 	Incarnation = "X-Incarnation"
-	// Holder and Fencing carry the order of a KV import.
+	// Holder and Fencing carry the fields of Order for a KV import, whose body is not JSON.
 	Holder  = "X-Order-Holder"
 	Fencing = "X-Order-Fencing"
 )
 
-// Paths of an engine.
+// Paths of an engine. ChatPath and CompletionsPath belong to the OpenAI protocol.
 const (
 	ChatPath        = "/v1/chat/completions"
 	CompletionsPath = "/v1/completions"
@@ -29,18 +30,22 @@
 	KVPath          = "/admin/kv"
 )
 
-// Parameters of the paths.
+// Query parameters of the paths.
 const (
-	IDParam     = "id"
-	NextParam   = "next"
-	SinceParam  = "since"
+	// IDParam is the identifier of the request to cancel or resume.
+	IDParam = "id"
+	// NextParam is the number of the first event to send again on a resume.
+	NextParam = "next"
+	// SinceParam is the number of the cache event after which the list begins.
+	SinceParam = "since"
+	// PrefixParam is the hexadecimal hash of a prompt prefix.
 	PrefixParam = "prefix"
 )
 
-// Code is the machine-readable reason of an error answer.
+// Code is the machine-readable reason in an error response.
 type Code string
 
-// Codes.
+// Codes of error responses. Package endpoint has the errors that they stand for.
 const (
 	CodeNotLoaded  Code = "model_not_found"
 	CodeBusy       Code = "busy"
@@ -52,32 +57,35 @@
 	CodeInvalid    Code = "invalid_request_error"
 )
 
-// Failure is the body of an error answer, in the form of the OpenAI protocol.
+// Failure is the body of an error response, in the form of the OpenAI protocol.
 type Failure struct {
 	Error FailureDetail `json:"error"`
 }
 
-// FailureDetail is the content of a Failure.
+// FailureDetail describes the error in a Failure.
 type FailureDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 	Code    Code   `json:"code"`
 }
 
-// Order is the right to give orders. It is part of each order's body.
+// Order authorizes a command that changes the state of an engine. It is part of the body of each such command.
 type Order struct {
-	Holder  string `json:"holder"`
+	// Holder is the VM that sends the order.
+	Holder string `json:"holder"`
+	// Fencing is the fencing number of the holder's lease. The engine refuses numbers older than the newest that it
+	// has seen.
 	Fencing uint64 `json:"fencing"`
 }
 
-// AdapterOrder loads or unloads an adapter version.
+// AdapterOrder is the body of an order to load or unload an adapter version.
 type AdapterOrder struct {
 	Order
 	Adapter string `json:"adapter"`
 	Version string `json:"version"`
 }
 
-// RoleOrder changes an engine's role.
+// RoleOrder is the body of an order to change an engine's role.
 type RoleOrder struct {
 	Order
 	Role string `json:"role"`
@@ -85,29 +93,33 @@
 
 // Report is an engine's load report.
 type Report struct {
-	Incarnation string          `json:"incarnation"`
-	AgeMS       int64           `json:"age_ms"`
-	Running     int             `json:"running"`
-	Waiting     int             `json:"waiting"`
-	Role        string          `json:"role"`
-	Draining    bool            `json:"draining,omitempty"`
-	Slots       int             `json:"slots"`
-	Loaded      []LoadedAdapter `json:"loaded"`
+	Incarnation string `json:"incarnation"`
+	// AgeMS is how long before the response the report was made, in milliseconds.
+	AgeMS int64 `json:"age_ms"`
+	// Running and Waiting are numbers of requests.
+	Running  int    `json:"running"`
+	Waiting  int    `json:"waiting"`
+	Role     string `json:"role"`
+	Draining bool   `json:"draining,omitempty"`
+	// Slots is the number of adapter slots, taken or free.
+	Slots  int             `json:"slots"`
+	Loaded []LoadedAdapter `json:"loaded"`
 }
 
-// LoadedAdapter is one adapter version of a Report.
+// LoadedAdapter is one loaded adapter version in a Report.
 type LoadedAdapter struct {
 	Adapter string `json:"adapter"`
 	Version string `json:"version"`
-	Running int    `json:"running"`
+	// Running is the number of requests that use the adapter version.
+	Running int `json:"running"`
 }
 
-// CacheEvents answers a request for cache events.
+// CacheEvents is the response to a request for cache events.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
 }
 
-// CacheEvent says that a prompt prefix was stored or dropped.
+// CacheEvent reports that the engine stored a prompt prefix in its KV cache or evicted it.
 type CacheEvent struct {
 	Seq     uint64 `json:"seq"`
 	Stored  bool   `json:"stored"`
