--- a/pkg/endpoint/rest/bench_test.go
+++ b/pkg/endpoint/rest/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/mallowlink/mallowlink/pkg/standin/service"
 )
 
-// BenchmarkService compares pooled with fresh connections, which non-idempotent calls get.
+// BenchmarkService compares a GET, which uses a pooled connection, with a POST, which uses a new one.
 func BenchmarkService(b *testing.B) {
 	server := httptest.NewServer(service.New(service.Options{}))
 	defer server.Close()
@@ -20,11 +20,11 @@
 			req := endpoint.Request{ID: "r", Method: method, Path: service.EchoPath, Body: []byte("{}")}
 			b.ReportAllocs()
 			for b.Loop() {
-				answer, err := client.Do(b.Context(), req)
+				response, err := client.Do(b.Context(), req)
 				if err != nil {
 					b.Fatal(err)
 				}
-				if _, err := pieces(answer); err != nil {
+				if _, err := readPieces(response); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/pkg/endpoint/rest/engine.go
+++ b/pkg/endpoint/rest/engine.go
@@ -18,7 +18,7 @@
 	"github.com/mallowlink/mallowlink/pkg/httpheader"
 )
 
-// Engine is a model engine.
+// Engine is a client of one model engine. It is safe for concurrent use.
 type Engine struct{ service *Service }
 
 var _ endpoint.Engine = (*Engine)(nil)
@@ -31,12 +31,12 @@
 // CloseIdle closes the connections that are not in use.
 func (e *Engine) CloseIdle() { e.service.CloseIdle() }
 
-// Do sends the request. Every answer of status 503 counts as ErrBusy, because engines refuse so only
-// what they have not run.
+// Do sends the request. Every response with status 503 is returned as endpoint.ErrBusy, because
+// engines use this status only for requests that they have not run.
 func (e *Engine) Do(ctx context.Context, req endpoint.Request) (endpoint.Answer, error) {
 	header := httpheader.StripHopByHop(req.Header)
 	header.Set(wire.Priority, strconv.Itoa(req.Priority))
-	// Events cannot be told apart in a compressed stream.
+	// The events of a compressed stream could not be parsed.
 	header.Set("Accept-Encoding", "identity")
 	resp, err := e.service.send(ctx, req, header)
 	if err != nil {
@@ -45,18 +45,18 @@
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusNotFound:
 	default:
-		return e.service.answer(resp, req.Stream, 0), nil
+		return e.service.newResponse(resp, req.Stream, 0), nil
 	}
-	answer, failure := e.service.peek(resp)
-	kind := codeError(resp.StatusCode, failure.Code)
+	response, failure := e.service.readFailure(resp)
+	kind := errorForCode(resp.StatusCode, failure.Code)
 	if kind == nil {
-		return answer, nil
+		return response, nil
 	}
-	answer.Close()
+	response.Close()
 	return nil, errors.Wrap(kind, failure.Message)
 }
 
-// Resume continues a stream.
+// Resume continues the stream of request id at event number next.
 func (e *Engine) Resume(ctx context.Context, id string, next uint64) (endpoint.Answer, error) {
 	query := url.Values{wire.IDParam: {id}, wire.NextParam: {strconv.FormatUint(next, 10)}}
 	req := endpoint.Request{ID: id, Method: http.MethodGet, Path: wire.ResumePath + "?" + query.Encode()}
@@ -65,14 +65,14 @@
 		return nil, err
 	}
 	if resp.StatusCode == http.StatusOK {
-		return e.service.answer(resp, true, next), nil
+		return e.service.newResponse(resp, true, next), nil
 	}
-	answer, failure := e.service.peek(resp)
-	answer.Close()
-	return nil, orderError(resp.StatusCode, failure)
+	response, failure := e.service.readFailure(resp)
+	response.Close()
+	return nil, callError(resp.StatusCode, failure)
 }
 
-// Cancel stops a request.
+// Cancel stops request id.
 func (e *Engine) Cancel(ctx context.Context, id string) error {
 	query := url.Values{wire.IDParam: {id}}
 	_, err := e.call(ctx, http.MethodPost, wire.CancelPath+"?"+query.Encode(), nil, nil)
@@ -81,17 +81,17 @@
 
 // Load loads an adapter version. Loading one that is loaded already is no error.
 func (e *Engine) Load(ctx context.Context, order endpoint.Order, adapter endpoint.AdapterVersion) error {
-	return e.order(ctx, wire.LoadPath, adapterOrder(order, adapter))
+	return e.sendOrder(ctx, wire.LoadPath, adapterOrder(order, adapter))
 }
 
 // Unload unloads an adapter version. Unloading one that is not loaded is no error.
 func (e *Engine) Unload(ctx context.Context, order endpoint.Order, adapter endpoint.AdapterVersion) error {
-	return e.order(ctx, wire.UnloadPath, adapterOrder(order, adapter))
+	return e.sendOrder(ctx, wire.UnloadPath, adapterOrder(order, adapter))
 }
 
 // SetRole changes the engine's role.
 func (e *Engine) SetRole(ctx context.Context, order endpoint.Order, role endpoint.Role) error {
-	return e.order(ctx, wire.RolePath, wire.RoleOrder{Order: wire.Order(order), Role: string(role)})
+	return e.sendOrder(ctx, wire.RolePath, wire.RoleOrder{Order: wire.Order(order), Role: string(role)})
 }
 
 // Report returns the engine's load report.
@@ -122,19 +122,19 @@
 	return out, nil
 }
 
-// CacheEvents returns the cache events after a number.
+// CacheEvents returns the cache events after number since.
 func (e *Engine) CacheEvents(ctx context.Context, since uint64) ([]endpoint.CacheEvent, error) {
 	query := url.Values{wire.SinceParam: {strconv.FormatUint(since, 10)}}
 	body, err := e.call(ctx, http.MethodGet, wire.CacheEventsPath+"?"+query.Encode(), nil, nil)
 	if err != nil {
 		return nil, err
 	}
-	var answer wire.CacheEvents
-	if err := json.Unmarshal(body, &answer); err != nil {
+	var response wire.CacheEvents
+	if err := json.Unmarshal(body, &response); err != nil {
 		return nil, errors.Wrap(err, "decode cache events")
 	}
-	events := make([]endpoint.CacheEvent, len(answer.Events))
-	for i, ev := range answer.Events {
+	events := make([]endpoint.CacheEvent, len(response.Events))
+	for i, ev := range response.Events {
 		prefix, err := strconv.ParseUint(ev.Prefix, 16, 64)
 		if err != nil {
 			return nil, errors.Wrap(err, "decode prefix")
@@ -149,7 +149,7 @@
 	return events, nil
 }
 
-// ExportKV returns the KV cache of a prompt prefix, or ErrGone.
+// ExportKV returns the KV cache of a prompt prefix, or endpoint.ErrGone if the engine has none.
 func (e *Engine) ExportKV(ctx context.Context, prefix uint64) ([]byte, error) {
 	return e.call(ctx, http.MethodGet, kvPath(prefix), nil, nil)
 }
@@ -177,8 +177,8 @@
 	}
 }
 
-// order sends an order as JSON.
-func (e *Engine) order(ctx context.Context, path string, message any) error {
+// sendOrder posts an order as JSON.
+func (e *Engine) sendOrder(ctx context.Context, path string, message any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
 		return errors.Wrap(err, "encode order")
@@ -187,7 +187,8 @@
 	return err
 }
 
-// call makes one administrative call and returns the whole body of its answer.
+// call makes one administrative call and returns the complete body of the response. A status other
+// than 200 is an error.
 func (e *Engine) call(ctx context.Context, method, path string, header http.Header, data []byte) ([]byte, error) {
 	if header == nil {
 		header = http.Header{}
@@ -198,20 +199,20 @@
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		answer, failure := e.service.peek(resp)
-		answer.Close()
-		return nil, orderError(resp.StatusCode, failure)
+		response, failure := e.service.readFailure(resp)
+		response.Close()
+		return nil, callError(resp.StatusCode, failure)
 	}
-	answer := e.service.answer(resp, false, 0)
-	defer answer.Close()
-	return readAll(answer)
+	response := e.service.newResponse(resp, false, 0)
+	defer response.Close()
+	return readAll(response)
 }
 
-// readAll returns a whole answer.
-func readAll(answer endpoint.Answer) ([]byte, error) {
+// readAll reads the response to its end and returns its body.
+func readAll(response endpoint.Answer) ([]byte, error) {
 	var out bytes.Buffer
 	for {
-		piece, err := answer.Next()
+		piece, err := response.Next()
 		if err == io.EOF {
 			return out.Bytes(), nil
 		}
@@ -222,16 +223,18 @@
 	}
 }
 
-// orderError returns the error of an administrative call that was refused.
-func orderError(status int, failure wire.FailureDetail) error {
-	if kind := codeError(status, failure.Code); kind != nil {
+// callError returns the error for an administrative call that the engine refused.
+func callError(status int, failure wire.FailureDetail) error {
+	if kind := errorForCode(status, failure.Code); kind != nil {
 		return errors.Wrap(kind, failure.Message)
 	}
 	return errors.Errorf("endpoint: status %d: %s", status, failure.Message)
 }
 
-// codeError returns the error that a code stands for; nil if none.
-func codeError(status int, code wire.Code) error {
+// errorForCode returns the error of package endpoint for the code and status of an error response, or
+// nil if there is none. Engines use status 503 only for requests that they have not run, so it means
+// ErrBusy without a code, too.
+func errorForCode(status int, code wire.Code) error {
 	switch code {
 	case wire.CodeNotLoaded:
 		return endpoint.ErrNotLoaded
--- a/pkg/endpoint/rest/engine_test.go
+++ b/pkg/endpoint/rest/engine_test.go
@@ -26,6 +26,7 @@
 	b1    = endpoint.AdapterVersion{Adapter: "b", Version: "1"}
 )
 
+// serve starts a server for the handler and returns its URL.
 func serve(t *testing.T, handler http.Handler) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -36,6 +37,7 @@
 	return server.URL
 }
 
+// newEngine starts a stand-in engine with adapter version a1 loaded, and returns it with a client of it.
 func newEngine(t *testing.T, opts engine.Options) (*engine.Server, *rest.Engine) {
 	t.Helper()
 	if opts.TokenInterval == 0 {
@@ -47,6 +49,7 @@
 	return server, client
 }
 
+// completion returns a request for a completion of the given number of tokens by a1.
 func completion(id string, stream bool, tokens int) endpoint.Request {
 	body := fmt.Sprintf(`{"model":"a:1","prompt":"p %s","max_tokens":%d,"stream":%v}`, id, tokens, stream)
 	return endpoint.Request{
@@ -55,11 +58,11 @@
 	}
 }
 
-// pieces reads an answer to its end.
-func pieces(answer endpoint.Answer) (int, error) {
-	defer answer.Close()
+// readPieces reads a response to its end and returns the number of its pieces.
+func readPieces(response endpoint.Answer) (int, error) {
+	defer response.Close()
 	for n := 0; ; n++ {
-		if _, err := answer.Next(); err == io.EOF {
+		if _, err := response.Next(); err == io.EOF {
 			return n, nil
 		} else if err != nil {
 			return n, err
@@ -67,15 +70,18 @@
 	}
 }
 
+// do sends the request and reads the response to its end.
 func do(t *testing.T, s endpoint.Service, req endpoint.Request) (int, error) {
 	t.Helper()
-	answer, err := s.Do(t.Context(), req)
+	response, err := s.Do(t.Context(), req)
 	if err != nil {
 		return 0, err
 	}
-	return pieces(answer)
+	return readPieces(response)
 }
 
+// TestLoadAndUnload checks the error of each order that the engine refuses: load failed, no slot, old
+// fencing number, and adapter in use. A cancelled stream ends with ErrCut.
 func TestLoadAndUnload(t *testing.T) {
 	server, client := newEngine(t, engine.Options{Slots: 2, TokenInterval: 20 * time.Millisecond})
 	ctx := t.Context()
@@ -96,30 +102,31 @@
 	require.NoError(t, server.Faults.Put(fault.Fault{Kind: fault.IgnoreFencing}))
 	require.NoError(t, client.Unload(ctx, old, b1))
 
-	answer, err := client.Do(ctx, completion("r1", true, 1000))
+	response, err := client.Do(ctx, completion("r1", true, 1000))
 	require.NoError(t, err)
-	defer answer.Close()
+	defer response.Close()
 	require.ErrorIs(t, client.Unload(ctx, order, a1), endpoint.ErrInUse)
 	report, err := client.Report(ctx)
 	require.NoError(t, err)
 	require.Equal(t, []endpoint.LoadedAdapter{{AdapterVersion: a1, Running: 1}}, report.Loaded)
 	require.NoError(t, client.Cancel(ctx, "r1"))
-	_, err = pieces(answer)
+	_, err = readPieces(response)
 	require.ErrorIs(t, err, endpoint.ErrCut)
 	require.NoError(t, client.Cancel(ctx, "unknown"))
 	require.Eventually(t, func() bool { return client.Unload(ctx, order, a1) == nil }, time.Second, time.Millisecond)
 	require.NoError(t, client.SetRole(ctx, order, endpoint.RoleStandby))
 }
 
+// TestResume continues a cut stream. No event may be missing or come twice, and the request runs only once.
 func TestResume(t *testing.T) {
 	server, client := newEngine(t, engine.Options{})
 	require.NoError(t, server.Faults.Put(fault.Fault{Kind: fault.CutStream, Count: 1, Events: 3}))
 	n, err := do(t, client, completion("r1", true, 8))
 	require.ErrorIs(t, err, endpoint.ErrCut)
 	require.Equal(t, 3, n)
-	answer, err := client.Resume(t.Context(), "r1", 3)
+	response, err := client.Resume(t.Context(), "r1", 3)
 	require.NoError(t, err)
-	n, err = pieces(answer)
+	n, err = readPieces(response)
 	require.NoError(t, err)
 	require.Equal(t, 8+1-3, n) // the tokens and the event with the finish reason
 	require.Len(t, server.Ran(), 1)
@@ -127,16 +134,18 @@
 	require.ErrorIs(t, err, endpoint.ErrGone)
 }
 
+// TestRestart crashes the engine with one request while another one is running. Both are cut, the
+// incarnation changes, and the restarted engine knows neither its adapters nor the old requests.
 func TestRestart(t *testing.T) {
 	server, client := newEngine(t, engine.Options{})
 	before, err := client.Report(t.Context())
 	require.NoError(t, err)
 	require.NoError(t, server.Faults.Put(fault.Fault{Kind: fault.Crash, Marker: "poison"}))
-	answer, err := client.Do(t.Context(), completion("neighbour", true, 100_000))
+	response, err := client.Do(t.Context(), completion("neighbour", true, 100_000))
 	require.NoError(t, err)
 	_, err = do(t, client, completion("poison", false, 8))
 	require.ErrorIs(t, err, endpoint.ErrCut)
-	_, err = pieces(answer)
+	_, err = readPieces(response)
 	require.ErrorIs(t, err, endpoint.ErrCut)
 	after, err := client.Report(t.Context())
 	require.NoError(t, err)
@@ -148,7 +157,9 @@
 	require.ErrorIs(t, err, endpoint.ErrGone)
 }
 
-func TestWeightsComeFromTheStore(t *testing.T) {
+// TestWeightsFromStore checks that a load reads the weights from the store, and fails while the store
+// is down.
+func TestWeightsFromStore(t *testing.T) {
 	store := weights.New(weights.Options{TransferTime: time.Millisecond})
 	_, client := newEngine(t, engine.Options{WeightsURL: serve(t, store)})
 	require.EqualValues(t, 1, store.Stats().Transfers)
@@ -156,6 +167,8 @@
 	require.ErrorIs(t, client.Load(t.Context(), order, b1), endpoint.ErrLoadFailed)
 }
 
+// TestCacheEventsAndKV checks that a gap in the event numbers is accepted and that a KV cache which
+// one engine exports can be imported by another.
 func TestCacheEventsAndKV(t *testing.T) {
 	server, client := newEngine(t, engine.Options{CachePrefixes: 1})
 	ctx := t.Context()
@@ -187,6 +200,7 @@
 	require.ErrorIs(t, err, endpoint.ErrGone)
 }
 
+// TestReportLag checks that a client returns an outdated report as the engine sent it.
 func TestReportLag(t *testing.T) {
 	server, client := newEngine(t, engine.Options{})
 	require.NoError(t, server.Faults.Put(fault.Fault{Kind: fault.ReportLag, DelayMS: 60_000}))
@@ -197,7 +211,10 @@
 	require.Equal(t, endpoint.RoleServe, report.Role)
 }
 
-func TestSwappedAndDuplicateAnswers(t *testing.T) {
+// TestSwappedAndDuplicateResponses checks that a response with the identifier of another request is
+// refused: first for two responses that the engine swaps, then for one that it sends twice on a kept
+// connection.
+func TestSwappedAndDuplicateResponses(t *testing.T) {
 	server, client := newEngine(t, engine.Options{})
 	require.NoError(t, server.Faults.Put(fault.Fault{Kind: fault.SwapAnswers, Count: 1}))
 	failed := make(chan error, 2)
@@ -218,7 +235,9 @@
 	require.ErrorIs(t, err, endpoint.ErrMismatch)
 }
 
-func TestPriorityOrdersTheQueue(t *testing.T) {
+// TestQueueOrderedByPriority checks that the priority reaches the engine: of two waiting requests the
+// one with the lower number runs first, although it came last.
+func TestQueueOrderedByPriority(t *testing.T) {
 	server, client := newEngine(t, engine.Options{MaxRunning: 1, TokenInterval: 5 * time.Millisecond})
 	done := make(chan error, 3)
 	for i, priority := range []int{0, 9, 1} {
@@ -243,7 +262,8 @@
 	require.Equal(t, []string{"p0", "p1", "p9"}, ids)
 }
 
-// A lost reply of a call that may not be repeated is a cut, and the call has run once.
+// TestServiceCallRunsOnce checks that a POST whose response is lost fails with ErrCut and is not sent
+// again by the HTTP client: it has run once.
 func TestServiceCallRunsOnce(t *testing.T) {
 	server := service.New(service.Options{})
 	client := rest.NewService(serve(t, server), rest.Options{})
@@ -261,10 +281,10 @@
 	_, err = do(t, client, req)
 	require.ErrorIs(t, err, endpoint.ErrBusy)
 	require.Len(t, server.Ran(), 1)
-	answer, err := client.Do(t.Context(), endpoint.Request{ID: "r2", Method: http.MethodGet, Path: "/assets/t1?x=1"})
+	response, err := client.Do(t.Context(), endpoint.Request{ID: "r2", Method: http.MethodGet, Path: "/assets/t1?x=1"})
 	require.NoError(t, err)
-	defer answer.Close()
-	piece, err := answer.Next()
+	defer response.Close()
+	piece, err := response.Next()
 	require.NoError(t, err)
 	require.Equal(t, 1, strings.Count(string(piece), `"issues-1"`))
 }
--- a/pkg/endpoint/rest/response.go
+++ b/pkg/endpoint/rest/response.go
@@ -12,45 +12,46 @@
 	"github.com/mallowlink/mallowlink/pkg/httpheader"
 )
 
-// pieceSize bounds the pieces in which a plain body is returned.
-const pieceSize = 32 << 10 // bytes
+// maxPiece is the largest piece of a plain body that Next returns.
+const maxPiece = 32 << 10 // bytes
 
-// maxRest bounds what is read of a stream after its end marker.
-const maxRest = 4 << 10 // bytes
+// maxTrailing bounds what Close reads of a stream after its end marker.
+const maxTrailing = 4 << 10 // bytes
 
-// body is a plain answer.
-type body struct {
+// bodyResponse is a response whose body is returned as it arrives, without parsing.
+type bodyResponse struct {
 	resp   *http.Response
 	header http.Header
-	// left is the number of bytes that may still come.
-	left int64
-	// framed says that the connection marks the end of the body, by length or chunks.
+	// remaining is the number of bytes that may still arrive before the response exceeds its limit.
+	remaining int64
+	// framed is set if the end of the body can be recognized: its length is known or it is sent in chunks.
 	framed bool
-	err    error
+	// err is what Next returns from now on: io.EOF after the end.
+	err error
 }
 
-func newBody(resp *http.Response, maxAnswer int64) *body {
+func newBodyResponse(resp *http.Response, maxAnswer int64) *bodyResponse {
 	framed := resp.ContentLength >= 0 || resp.Body == http.NoBody ||
 		slices.Contains(resp.TransferEncoding, "chunked")
-	return &body{resp: resp, header: httpheader.StripHopByHop(resp.Header), left: maxAnswer, framed: framed}
+	return &bodyResponse{resp: resp, header: httpheader.StripHopByHop(resp.Header), remaining: maxAnswer, framed: framed}
 }
 
 // Status returns the HTTP status.
-func (b *body) Status() int { return b.resp.StatusCode }
+func (b *bodyResponse) Status() int { return b.resp.StatusCode }
 
 // Header returns the header without hop-by-hop fields.
-func (b *body) Header() http.Header { return b.header }
+func (b *bodyResponse) Header() http.Header { return b.header }
 
 // Next returns the next part of the body.
-func (b *body) Next() ([]byte, error) {
+func (b *bodyResponse) Next() ([]byte, error) {
 	if b.err != nil {
 		return nil, b.err
 	}
-	piece := make([]byte, pieceSize)
+	piece := make([]byte, maxPiece)
 	for {
 		n, err := b.resp.Body.Read(piece)
-		b.err = b.end(err)
-		if b.left -= int64(n); b.left < 0 {
+		b.err = b.readError(err)
+		if b.remaining -= int64(n); b.remaining < 0 {
 			b.err = errors.Wrap(endpoint.ErrTooLarge, "body")
 			return nil, b.err
 		}
@@ -63,8 +64,9 @@
 	}
 }
 
-// end returns what the end of the body means.
-func (b *body) end(err error) error {
+// readError translates an error of a read from the body. An end of the connection is the end of the
+// response only if the body is framed; otherwise part of the body may be missing.
+func (b *bodyResponse) readError(err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -77,38 +79,38 @@
 }
 
 // Close releases the connection.
-func (b *body) Close() error { return b.resp.Body.Close() }
+func (b *bodyResponse) Close() error { return b.resp.Body.Close() }
 
-// stream is an answer of server-sent events.
-type stream struct {
+// streamResponse is a response that is a stream of server-sent events.
+type streamResponse struct {
 	resp   *http.Response
 	header http.Header
 	parser *sse.Parser
-	// expected is the number of the next event.
-	expected uint64
-	left     int64
-	err      error
+	// nextID is the number of the next event that Next has to return.
+	nextID    uint64
+	remaining int64
+	err       error
 }
 
-func newStream(resp *http.Response, first uint64, maxAnswer int64, maxEvent int) *stream {
-	return &stream{
-		resp:     resp,
-		header:   httpheader.StripHopByHop(resp.Header),
-		parser:   sse.NewParser(resp.Body, maxEvent),
-		expected: first,
-		left:     maxAnswer,
+func newStreamResponse(resp *http.Response, first uint64, maxAnswer int64, maxEvent int) *streamResponse {
+	return &streamResponse{
+		resp:      resp,
+		header:    httpheader.StripHopByHop(resp.Header),
+		parser:    sse.NewParser(resp.Body, maxEvent),
+		nextID:    first,
+		remaining: maxAnswer,
 	}
 }
 
 // Status returns the HTTP status.
-func (s *stream) Status() int { return s.resp.StatusCode }
+func (s *streamResponse) Status() int { return s.resp.StatusCode }
 
 // Header returns the header without hop-by-hop fields.
-func (s *stream) Header() http.Header { return s.header }
+func (s *streamResponse) Header() http.Header { return s.header }
 
-// Next returns the data of the next event. Events that were seen already are skipped, and a missing
-// one cuts the stream.
-func (s *stream) Next() ([]byte, error) {
+// Next returns the data of the next event. It skips events that were received already, and fails with
+// endpoint.ErrCut if an event is missing.
+func (s *streamResponse) Next() ([]byte, error) {
 	for s.err == nil {
 		ev, err := s.parser.Next()
 		switch {
@@ -118,31 +120,32 @@
 			s.err = &Error{Kind: endpoint.ErrCut, Cause: err}
 		case string(ev.Data) == sse.EndMarker:
 			s.err = io.EOF
-		case ev.Numbered && ev.ID < s.expected:
+		case ev.Numbered && ev.ID < s.nextID:
 			continue
-		case ev.Numbered && ev.ID > s.expected:
-			s.err = errors.Wrapf(endpoint.ErrCut, "event %d missing", s.expected)
+		case ev.Numbered && ev.ID > s.nextID:
+			s.err = errors.Wrapf(endpoint.ErrCut, "event %d missing", s.nextID)
 		default:
-			return s.take(ev.Data)
+			return s.deliver(ev.Data)
 		}
 	}
 	return nil, s.err
 }
 
-func (s *stream) take(data []byte) ([]byte, error) {
-	s.expected++
-	if s.left -= int64(len(data)); s.left < 0 {
+// deliver counts the event and returns its data, or ErrTooLarge if the stream has exceeded its limit.
+func (s *streamResponse) deliver(data []byte) ([]byte, error) {
+	s.nextID++
+	if s.remaining -= int64(len(data)); s.remaining < 0 {
 		s.err = errors.Wrap(endpoint.ErrTooLarge, "stream")
 		return nil, s.err
 	}
 	return data, nil
 }
 
-// Close releases the connection. The rest of a whole stream is read, so that the connection can be
-// used again.
-func (s *stream) Close() error {
+// Close releases the connection. After the end marker it first reads the rest of the body, because net/http
+// reuses only connections whose response was read to its end.
+func (s *streamResponse) Close() error {
 	if s.err == io.EOF {
-		_, _ = io.CopyN(io.Discard, s.resp.Body, maxRest)
+		_, _ = io.CopyN(io.Discard, s.resp.Body, maxTrailing)
 	}
 	return s.resp.Body.Close()
 }
--- a/pkg/endpoint/rest/service.go
+++ b/pkg/endpoint/rest/service.go
@@ -1,4 +1,4 @@
-// Package rest speaks to model engines and plain services over HTTP/1.1.
+// Package rest implements package endpoint over HTTP/1.1: clients of model engines and of plain services.
 package rest
 
 import (
@@ -24,24 +24,28 @@
 	DefaultMaxEvent  = 1 << 20  // bytes
 )
 
-// maxFailure bounds the part of an error answer that is read to find its code.
-const maxFailure = 16 << 10 // bytes
+// maxFailureBody bounds the part of an error response that is read to find its code.
+const maxFailureBody = 16 << 10 // bytes
 
-// Options configure the clients. Zero values mean the defaults.
+// Options configure a Service or an Engine. Zero values mean the defaults.
 type Options struct {
-	// MaxAnswer bounds an answer, in bytes.
+	// MaxAnswer bounds the body of a response, in bytes.
 	MaxAnswer int64
 	// MaxEvent bounds one event of a stream, in bytes.
 	MaxEvent int
-	// RequireEcho refuses answers that carry no X-Request-Id, as well as those with another's.
+	// RequireEcho makes responses without an X-Request-Id fail. Those with the identifier of another request
+	// always fail.
 	RequireEcho bool
-	HTTP        httponce.Options
+	// HTTP configures the underlying HTTP clients.
+	HTTP httponce.Options
 }
 
-// Error is a failure of a call. It wraps one of endpoint's errors and the cause.
+// Error is the failure of a call to an endpoint. It wraps one of the errors of package endpoint and
+// the cause.
 type Error struct {
-	// Kind is one of endpoint's errors.
-	Kind  error
+	// Kind is one of the errors of package endpoint.
+	Kind error
+	// Cause is the error of the HTTP client or of the parser.
 	Cause error
 }
 
@@ -51,19 +55,23 @@
 // Unwrap returns the kind and the cause.
 func (e *Error) Unwrap() []error { return []error{e.Kind, e.Cause} }
 
-// Service is a plain service.
+// Service is a client of one plain service. It is safe for concurrent use.
 type Service struct {
-	base   string
+	// base is the URL before the paths of requests, without a slash at its end.
+	base string
+	// pooled sends requests on kept connections.
 	pooled *httponce.Client
-	// fresh sends the requests that may not be lost on a connection that the server is closing.
+	// fresh sends each request on a new connection. It is used for requests that must not be lost on a kept
+	// connection that the endpoint is just closing.
 	fresh *httponce.Client
 	opts  Options
 }
 
 var _ endpoint.Service = (*Service)(nil)
 
-// NewService returns a client of the plain service at the base URL. Requests with methods other than
-// GET and HEAD each use a connection of their own, so that none is lost on a stale one.
+// NewService returns a client of the plain service at the base URL. Each request with a method other
+// than GET and HEAD uses a new connection, so that none is lost on a kept one that the service is just
+// closing.
 func NewService(base string, opts Options) *Service {
 	s := newPooled(base, opts)
 	freshOptions := opts.HTTP
@@ -90,24 +98,27 @@
 	s.fresh.CloseIdle()
 }
 
-// Do sends the request.
+// Do sends the request. Only a response with status 503 and code "busy" is returned as
+// endpoint.ErrBusy: unlike an engine, a service may have run a request that it answers with another
+// 503.
 func (s *Service) Do(ctx context.Context, req endpoint.Request) (endpoint.Answer, error) {
 	resp, err := s.send(ctx, req, httpheader.StripHopByHop(req.Header))
 	if err != nil {
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusServiceUnavailable {
-		return s.answer(resp, req.Stream, 0), nil
+		return s.newResponse(resp, req.Stream, 0), nil
 	}
-	answer, failure := s.peek(resp)
+	response, failure := s.readFailure(resp)
 	if failure.Code == wire.CodeBusy {
-		answer.Close()
+		response.Close()
 		return nil, errors.Wrap(endpoint.ErrBusy, failure.Message)
 	}
-	return answer, nil
+	return response, nil
 }
 
-// send sends the request with the header, which it may change, and checks whose answer comes back.
+// send sends the request with the given header, which it may change, and returns the response if that
+// belongs to the request.
 func (s *Service) send(ctx context.Context, req endpoint.Request, header http.Header) (*http.Response, error) {
 	hreq, err := http.NewRequestWithContext(ctx, req.Method, s.base+req.Path, bytes.NewReader(req.Body))
 	if err != nil {
@@ -130,15 +141,16 @@
 		resp.Body.Close()
 		return nil, errors.Wrap(endpoint.ErrCut, "endpoint switched protocols unasked")
 	}
-	if err := s.checkEcho(resp, req.ID); err != nil {
+	if err := s.checkRequestID(resp, req.ID); err != nil {
 		resp.Body.Close()
 		return nil, err
 	}
 	return resp, nil
 }
 
-// checkEcho refuses another request's answer.
-func (s *Service) checkEcho(resp *http.Response, id string) error {
+// checkRequestID returns endpoint.ErrMismatch if the response carries the identifier of another
+// request, or none although Options.RequireEcho is set.
+func (s *Service) checkRequestID(resp *http.Response, id string) error {
 	echo := resp.Header.Get(wire.RequestID)
 	if echo == id || echo == "" && !s.opts.RequireEcho {
 		return nil
@@ -146,6 +158,8 @@
 	return errors.Wrapf(endpoint.ErrMismatch, "want %q, got %q", id, echo)
 }
 
+// sendError classifies an error of the HTTP client by how far the request went. Once any part of it
+// was sent, the endpoint may have run it.
 func sendError(ctx context.Context, err error) error {
 	var failed *httponce.Error
 	switch {
@@ -157,28 +171,29 @@
 	return &Error{Kind: endpoint.ErrRefused, Cause: err}
 }
 
-// answer returns the answer of a response. If a stream was asked for, next is the number of its first
-// event.
-func (s *Service) answer(resp *http.Response, asked bool, next uint64) endpoint.Answer {
-	kind, _, _ := mime.ParseMediaType(resp.Header.Get("Content-Type"))
-	if asked && kind == "text/event-stream" {
-		return newStream(resp, next, s.opts.MaxAnswer, s.opts.MaxEvent)
+// newResponse wraps resp for reading. If the request asked for a stream and the endpoint sent one,
+// next is the number of its first event.
+func (s *Service) newResponse(resp *http.Response, stream bool, next uint64) endpoint.Answer {
+	mediaType, _, _ := mime.ParseMediaType(resp.Header.Get("Content-Type"))
+	if stream && mediaType == "text/event-stream" {
+		return newStreamResponse(resp, next, s.opts.MaxAnswer, s.opts.MaxEvent)
 	}
-	return newBody(resp, s.opts.MaxAnswer)
+	return newBodyResponse(resp, s.opts.MaxAnswer)
 }
 
-// peek returns an error answer and, if its body is a wire.Failure, the detail of that.
-func (s *Service) peek(resp *http.Response) (endpoint.Answer, wire.FailureDetail) {
-	head, _ := io.ReadAll(io.LimitReader(resp.Body, maxFailure))
+// readFailure wraps an error response, whose body can still be read from the start, and returns the
+// detail of its wire.Failure. The detail is empty if the body has another form.
+func (s *Service) readFailure(resp *http.Response) (endpoint.Answer, wire.FailureDetail) {
+	head, _ := io.ReadAll(io.LimitReader(resp.Body, maxFailureBody))
 	var failure wire.Failure
-	// Another form of body has no code.
+	// A body of another form has no code, so that the error does not matter.
 	_ = json.Unmarshal(head, &failure)
-	resp.Body = replayed{Reader: io.MultiReader(bytes.NewReader(head), resp.Body), Closer: resp.Body}
-	return s.answer(resp, false, 0), failure.Error
+	resp.Body = replayedBody{Reader: io.MultiReader(bytes.NewReader(head), resp.Body), Closer: resp.Body}
+	return s.newResponse(resp, false, 0), failure.Error
 }
 
-// replayed is a body whose beginning was read before.
-type replayed struct {
+// replayedBody is a body whose beginning, read before, is returned again.
+type replayedBody struct {
 	io.Reader
 	io.Closer
 }
--- a/pkg/endpoint/rest/service_test.go
+++ b/pkg/endpoint/rest/service_test.go
@@ -14,6 +14,7 @@
 	"github.com/mallowlink/mallowlink/pkg/endpoint/rest/wire"
 )
 
+// serve starts a server for the handler and returns its URL.
 func serve(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -21,28 +22,31 @@
 	return server.URL
 }
 
-// raw answers with exactly the given bytes and closes the connection.
-func raw(answer string) http.HandlerFunc {
+// raw returns a handler that sends exactly the given bytes and closes the connection.
+func raw(response string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		conn, _, err := w.(http.Hijacker).Hijack()
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, answer)
+		_, _ = io.WriteString(conn, response)
 		conn.Close()
 	}
 }
 
+// post returns a POST request, which a Service sends on a new connection.
 func post(stream bool) endpoint.Request {
 	return endpoint.Request{ID: "r1", Method: http.MethodPost, Path: "/x", Body: []byte("{}"), Stream: stream}
 }
 
-func TestEndOfAnswer(t *testing.T) {
+// TestEndOfResponse checks that a response counts as complete only with a mark of its end: otherwise a
+// connection that the endpoint loses would pass for the end of the response.
+func TestEndOfResponse(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	const sse = ok + "Content-Type: text/event-stream\r\n\r\n"
 	cases := []struct {
-		name, answer, want string
-		err                error
+		name, response, want string
+		err                  error
 	}{
 		{"length reached", ok + "Content-Length: 2\r\n\r\nab", "ab", nil},
 		{"length not reached", ok + "Content-Length: 3\r\n\r\nab", "ab", endpoint.ErrCut},
@@ -58,22 +62,22 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			service := NewService(serve(t, raw(c.answer)), Options{})
-			answer, err := service.Do(t.Context(), post(true))
+			service := NewService(serve(t, raw(c.response)), Options{})
+			response, err := service.Do(t.Context(), post(true))
 			require.NoError(t, err)
-			defer answer.Close()
-			body, err := collect(answer)
+			defer response.Close()
+			body, err := collect(response)
 			require.ErrorIs(t, err, c.err)
 			require.Equal(t, c.want, body)
 		})
 	}
 }
 
-// collect is readAll that also returns what came before an error.
-func collect(answer endpoint.Answer) (string, error) {
+// collect returns the body of the response; after an error, what was read before it.
+func collect(response endpoint.Answer) (string, error) {
 	var body []byte
 	for {
-		piece, err := answer.Next()
+		piece, err := response.Next()
 		body = append(body, piece...)
 		if err == io.EOF {
 			return string(body), nil
@@ -84,15 +88,18 @@
 	}
 }
 
-func TestBeforeTheHead(t *testing.T) {
+// TestFailureBeforeHeader checks the errors of requests that get no response header: connection
+// refused, context cancelled before sending, and connection closed after sending. Only the last may
+// have run.
+func TestFailureBeforeHeader(t *testing.T) {
 	closed := httptest.NewServer(http.NotFoundHandler())
 	closed.Close()
 	_, err := NewService(closed.URL, Options{}).Do(t.Context(), post(false))
 	require.ErrorIs(t, err, endpoint.ErrRefused)
 
-	gone, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = NewService(closed.URL, Options{}).Do(gone, post(false))
+	_, err = NewService(closed.URL, Options{}).Do(cancelled, post(false))
 	require.ErrorIs(t, err, endpoint.ErrNotSent)
 	require.ErrorIs(t, err, context.Canceled)
 	require.NotErrorIs(t, err, endpoint.ErrRefused)
@@ -102,52 +109,61 @@
 	require.NotErrorIs(t, err, endpoint.ErrRefused)
 }
 
-func TestSwitchedProtocolIsNoAnswer(t *testing.T) {
+// TestUnrequestedProtocolSwitch checks that a response with status 101, which the client never asks
+// for, is an error.
+func TestUnrequestedProtocolSwitch(t *testing.T) {
 	url := serve(t, raw("HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n"))
 	_, err := NewService(url, Options{}).Do(t.Context(), post(false))
 	require.ErrorIs(t, err, endpoint.ErrCut)
 }
 
+// TestHeadHasNoBody checks that the response to a HEAD request is complete although its Content-Length
+// is not 0.
 func TestHeadHasNoBody(t *testing.T) {
 	url := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Content-Length", "9") })
 	req := post(false)
 	req.Method, req.Body = http.MethodHead, nil
-	answer, err := NewService(url, Options{}).Do(t.Context(), req)
+	response, err := NewService(url, Options{}).Do(t.Context(), req)
 	require.NoError(t, err)
-	body, err := collect(answer)
+	body, err := collect(response)
 	require.NoError(t, err)
 	require.Empty(t, body)
-	require.Equal(t, "9", answer.Header().Get("Content-Length"))
+	require.Equal(t, "9", response.Header().Get("Content-Length"))
 }
 
-func TestAnswerOfAnotherRequest(t *testing.T) {
-	answerWith := func(id string) http.HandlerFunc {
+// TestResponseOfAnotherRequest checks that a response with another identifier is refused, and one
+// without an identifier only if RequireEcho is set.
+func TestResponseOfAnotherRequest(t *testing.T) {
+	respondWith := func(id string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
 			if id != "" {
 				w.Header().Set(wire.RequestID, id)
 			}
 		}
 	}
-	_, err := NewService(serve(t, answerWith("r2")), Options{}).Do(t.Context(), post(false))
+	_, err := NewService(serve(t, respondWith("r2")), Options{}).Do(t.Context(), post(false))
 	require.ErrorIs(t, err, endpoint.ErrMismatch)
-	_, err = NewService(serve(t, answerWith("")), Options{RequireEcho: true}).Do(t.Context(), post(false))
+	_, err = NewService(serve(t, respondWith("")), Options{RequireEcho: true}).Do(t.Context(), post(false))
 	require.ErrorIs(t, err, endpoint.ErrMismatch)
 	for _, id := range []string{"r1", ""} {
-		answer, err := NewService(serve(t, answerWith(id)), Options{}).Do(t.Context(), post(false))
+		response, err := NewService(serve(t, respondWith(id)), Options{}).Do(t.Context(), post(false))
 		require.NoError(t, err)
-		answer.Close()
+		response.Close()
 	}
 }
 
-func TestAnswerTooLarge(t *testing.T) {
+// TestResponseTooLarge checks the limit on the body of a response.
+func TestResponseTooLarge(t *testing.T) {
 	url := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "12345") })
-	answer, err := NewService(url, Options{MaxAnswer: 4}).Do(t.Context(), post(false))
+	response, err := NewService(url, Options{MaxAnswer: 4}).Do(t.Context(), post(false))
 	require.NoError(t, err)
-	_, err = collect(answer)
+	_, err = collect(response)
 	require.ErrorIs(t, err, endpoint.ErrTooLarge)
 }
 
-func TestHopByHopFieldsAreDroppedBothWays(t *testing.T) {
+// TestHopByHopFieldsAreDropped checks requests and responses, with the fields that their Connection
+// field names, too.
+func TestHopByHopFieldsAreDropped(t *testing.T) {
 	seen := make(chan http.Header, 1)
 	url := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		seen <- r.Header.Clone()
@@ -162,12 +178,12 @@
 		"Connection": {"x-secret , keep-alive"}, "X-Secret": {"1"}, "Te": {"trailers"}, "Upgrade": {"h2c"},
 		"Proxy-Authorization": {"p"}, "x-kept": {"1"},
 	}
-	answer, err := NewService(url, Options{}).Do(t.Context(), req)
+	response, err := NewService(url, Options{}).Do(t.Context(), req)
 	require.NoError(t, err)
-	defer answer.Close()
-	require.Equal(t, "1", answer.Header().Get("X-Kept"))
+	defer response.Close()
+	require.Equal(t, "1", response.Header().Get("X-Kept"))
 	for _, name := range []string{"Connection", "X-Private", "Keep-Alive"} {
-		require.Empty(t, answer.Header().Get(name), name)
+		require.Empty(t, response.Header().Get(name), name)
 	}
 	header := <-seen
 	require.Equal(t, "1", header.Get("X-Kept"))
@@ -176,6 +192,8 @@
 	}
 }
 
+// TestRefusalsByCode checks which error responses of an engine and of a service become errors of
+// package endpoint. All others are passed on whole.
 func TestRefusalsByCode(t *testing.T) {
 	refuse := func(status int, code wire.Code) string {
 		return serve(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -196,20 +214,20 @@
 	}
 	for _, c := range cases {
 		url := refuse(c.status, c.code)
-		for do, want := range map[endpoint.Service]error{
+		for client, want := range map[endpoint.Service]error{
 			NewEngine(url, Options{}): c.engine, NewService(url, Options{}): c.service,
 		} {
-			answer, err := do.Do(t.Context(), post(false))
+			response, err := client.Do(t.Context(), post(false))
 			if want != nil {
 				require.ErrorIs(t, err, want)
 				continue
 			}
 			require.NoError(t, err)
-			require.Equal(t, c.status, answer.Status())
-			body, err := collect(answer)
+			require.Equal(t, c.status, response.Status())
+			body, err := collect(response)
 			require.NoError(t, err)
 			require.Contains(t, body, `"message":"m"`)
-			answer.Close()
+			response.Close()
 		}
 	}
 }
