--- a/pkg/endpoint/endpoint.go
+++ b/pkg/endpoint/endpoint.go
@@ -1,5 +1,5 @@
-// Package endpoint declares what mallowlink asks of the endpoints that it serves:
-// model engines and plain services. Subpackage rest implements it over HTTP.
+// Package endpoint declares the interfaces through which mallowlink uses endpoints: model engines and
+// plain services. Subpackage rest implements them over HTTP.
 package endpoint
 
 import (
@@ -12,34 +12,37 @@
 
 // Errors that every implementation returns, possibly wrapped.
 var (
-	// ErrRefused says that the connection was refused: the endpoint did not see the request.
+	// ErrRefused is returned if no connection to the endpoint could be opened: it did not see the request.
 	ErrRefused = errors.New("endpoint: connection refused")
-	// ErrNotSent says that the context ended before any part of the request was sent: nothing ran, and
-	// nothing is known of the endpoint.
+	// ErrNotSent is returned if the context ended before any part of the request was sent. The endpoint ran
+	// nothing, and the error says nothing about its health.
 	ErrNotSent = errors.New("endpoint: not sent")
-	// ErrNotLoaded says that the engine has no such adapter version loaded; nothing ran.
+	// ErrNotLoaded is returned if the engine has not loaded the adapter version. It did not run the request.
 	ErrNotLoaded = errors.New("endpoint: adapter version not loaded")
-	// ErrBusy says that the endpoint refused the request for want of capacity; nothing ran.
+	// ErrBusy is returned if the endpoint refused the request for lack of capacity. It did not run the request.
 	ErrBusy = errors.New("endpoint: busy")
-	// ErrFenced says that the order carried an old fencing number.
+	// ErrFenced is returned if the fencing number of an order is older than the newest that the engine has seen.
 	ErrFenced = errors.New("endpoint: fencing number too old")
-	// ErrInUse says that the adapter has running requests and cannot be unloaded.
+	// ErrInUse is returned if an adapter cannot be unloaded because running requests use it.
 	ErrInUse = errors.New("endpoint: adapter in use")
-	// ErrLoadFailed says that the engine could not load the adapter.
+	// ErrLoadFailed is returned if the engine could not load the adapter.
 	ErrLoadFailed = errors.New("endpoint: load failed")
-	// ErrNoSlot says that every adapter slot of the engine is taken.
+	// ErrNoSlot is returned if every adapter slot of the engine is taken.
 	ErrNoSlot = errors.New("endpoint: no free slot")
-	// ErrCut says that the connection ended before the end marker of the answer.
+	// ErrCut is returned if the connection ended, or an event was missing, before the end of the response. The
+	// endpoint may have run the request.
 	ErrCut = errors.New("endpoint: answer cut")
-	// ErrGone says that the engine no longer knows the request that it was asked to resume.
+	// ErrGone is returned if the engine does not have, or no longer has, the request to resume or the KV cache
+	// to export.
 	ErrGone = errors.New("endpoint: request not known")
-	// ErrMismatch says that the answer carried the identifier of another request.
+	// ErrMismatch is returned if the response carried the identifier of another request, or none although one
+	// is required.
 	ErrMismatch = errors.New("endpoint: answer belongs to another request")
-	// ErrTooLarge says that the answer, or one event of it, is larger than the limit.
+	// ErrTooLarge is returned if the response, or one event of it, is larger than the limit.
 	ErrTooLarge = errors.New("endpoint: answer too large")
 )
 
-// Role is what a model engine is used for.
+// Role is the kind of work that a model engine is used for.
 type Role string
 
 // Roles of a model engine.
@@ -49,7 +52,7 @@
 	RoleStandby Role = "standby"
 )
 
-// AdapterVersion names one version of one adapter. Engines know it by String.
+// AdapterVersion identifies one version of one adapter. String returns its name at the engines.
 type AdapterVersion struct {
 	Adapter string
 	Version string
@@ -58,92 +61,105 @@
 // String returns the name under which an engine serves the adapter version.
 func (a AdapterVersion) String() string { return a.Adapter + ":" + a.Version }
 
-// Order carries the right to give an endpoint orders.
+// Order authorizes a command that changes the state of an engine: load or unload an adapter, change the role,
+// or import a KV cache.
 type Order struct {
-	// Holder is the VM that gives the order.
+	// Holder is the VM that sends the order. It holds the lease on the endpoint's group.
 	Holder string
-	// Fencing is the fencing number of the lease on the endpoint's group.
+	// Fencing is the fencing number of that lease. The engine refuses numbers older than the newest that it
+	// has seen, so that a VM which has lost the lease cannot change the engine any more.
 	Fencing uint64
 }
 
-// Request is one call to an endpoint, already stripped of the caller's key.
+// Request is one attempt to run a caller's request on an endpoint. The caller's key has been removed.
 type Request struct {
-	// ID identifies the attempt. The endpoint echoes it in every answer.
+	// ID identifies the attempt. The endpoint returns it in every response.
 	ID     string
 	Method string
 	// Path is the request target, with query.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Stream says that the answer is a stream of server-sent events.
+	// Stream is set if the response should be a stream of server-sent events.
 	Stream bool
 	// Priority is passed to model engines; lower numbers run first.
 	Priority int
 }
 
-// Answer is an endpoint's answer, read piece by piece.
+// Answer is the response of an endpoint, which is read piece by piece.
 type Answer interface {
-	// Status is the HTTP status of the answer.
+	// Status returns the HTTP status of the response.
 	Status() int
-	// Header is the header of the answer, without hop-by-hop fields.
+	// Header returns the header of the response, without hop-by-hop fields.
 	Header() http.Header
-	// Next returns the next piece: one server-sent event's data for a stream, else part of the body.
-	// It returns io.EOF after the end marker of a whole answer, and ErrCut when the answer ended early.
+	// Next returns the next piece: the data of one event for a stream, otherwise part of the body.
+	// It returns io.EOF at the end of a complete response, and ErrCut if the response ended early.
 	Next() ([]byte, error)
 	// Close releases the connection.
 	Close() error
 }
 
-// LoadReport is an engine's report of its load. It lags behind the truth.
+// LoadReport is an engine's report of its load. It describes a moment in the past; see Age.
 type LoadReport struct {
 	// Incarnation changes when the engine restarts.
 	Incarnation string
-	// Taken is how long before the reply the report was taken.
-	Age      time.Duration
+	// Age is how long before the response the report was made.
+	Age time.Duration
+	// Running and Waiting are numbers of requests.
 	Running  int
 	Waiting  int
 	Role     Role
 	Draining bool
-	Slots    int
-	Loaded   []LoadedAdapter
+	// Slots is the number of adapter slots, taken or free.
+	Slots  int
+	Loaded []LoadedAdapter
 }
 
-// LoadedAdapter is one adapter version in a LoadReport.
+// LoadedAdapter is one loaded adapter version in a LoadReport.
 type LoadedAdapter struct {
 	AdapterVersion
-	// Running is the number of requests that use it.
+	// Running is the number of requests that use the adapter version.
 	Running int
 }
 
-// CacheEvent says that an engine stored or dropped a cached prompt prefix.
+// CacheEvent reports that an engine stored a prompt prefix in its KV cache or evicted it.
 type CacheEvent struct {
-	Seq     uint64
+	// Seq is the number of the event. Numbers increase and may have gaps.
+	Seq uint64
+	// Stored is set if the prefix was stored, not evicted.
 	Stored  bool
 	Adapter AdapterVersion
 	// Prefix is the hash of the cached prompt prefix.
 	Prefix uint64
 }
 
-// Service is an endpoint that answers requests.
+// Service is an endpoint that runs requests.
 type Service interface {
-	// Do sends the request and returns once the head of the answer has arrived.
+	// Do sends the request and returns once the status line and header of the response have arrived.
 	Do(ctx context.Context, req Request) (Answer, error)
 }
 
-// Engine is a model engine.
+// Engine is an endpoint that runs a model and can load adapters of it.
 type Engine interface {
 	Service
-	// Resume continues the stream of request id at its event number next; the first event is number 0,
-	// so next is the number of events already received. It fails with ErrGone.
+	// Resume continues the stream of request id at event number next. The first event has number 0, so
+	// next is the number of events already received. Resume returns ErrGone if the engine no longer has the
+	// request.
 	Resume(ctx context.Context, id string, next uint64) (Answer, error)
-	// Cancel stops request id. Cancelling an unknown request is not an error.
+	// Cancel stops request id. It is not an error if the engine does not know the request.
 	Cancel(ctx context.Context, id string) error
+	// Load loads an adapter version. It is not an error if the version is loaded already.
 	Load(ctx context.Context, order Order, adapter AdapterVersion) error
+	// Unload unloads an adapter version. It is not an error if the version is not loaded.
 	Unload(ctx context.Context, order Order, adapter AdapterVersion) error
+	// SetRole changes the role of the engine.
 	SetRole(ctx context.Context, order Order, role Role) error
+	// Report returns the engine's load report.
 	Report(ctx context.Context) (LoadReport, error)
-	// CacheEvents returns the events after number since, oldest first. Numbers may have gaps.
+	// CacheEvents returns the cache events after number since, oldest first. Numbers may have gaps.
 	CacheEvents(ctx context.Context, since uint64) ([]CacheEvent, error)
+	// ExportKV returns the KV cache of the prompt prefix with the given hash, or ErrGone if the engine has none.
 	ExportKV(ctx context.Context, prefix uint64) ([]byte, error)
+	// ImportKV stores the KV cache of a prompt prefix that another engine exported.
 	ImportKV(ctx context.Context, order Order, prefix uint64, data []byte) error
 }
