--- a/pkg/endpoint/endpoint.go
+++ b/pkg/endpoint/endpoint.go
@@ -86,7 +86,7 @@
 	Priority int
 }
 
-// Answer is the response of an endpoint, which is read piece by piece.
+// Answer is what an endpoint returns for a request. Its body is read piece by piece.
 type Answer interface {
 	// Status returns the HTTP status of the response.
 	Status() int
--- a/pkg/endpoint/rest/response.go
+++ b/pkg/endpoint/rest/response.go
@@ -30,10 +30,10 @@
 	err error
 }
 
-func newBodyResponse(resp *http.Response, maxAnswer int64) *bodyResponse {
+func newBodyResponse(resp *http.Response, maxResponse int64) *bodyResponse {
 	framed := resp.ContentLength >= 0 || resp.Body == http.NoBody ||
 		slices.Contains(resp.TransferEncoding, "chunked")
-	return &bodyResponse{resp: resp, header: httpheader.StripHopByHop(resp.Header), remaining: maxAnswer, framed: framed}
+	return &bodyResponse{resp: resp, header: httpheader.StripHopByHop(resp.Header), remaining: maxResponse, framed: framed}
 }
 
 // Status returns the HTTP status.
@@ -86,19 +86,21 @@
 	resp   *http.Response
 	header http.Header
 	parser *sse.Parser
-	// nextID is the number of the next event that Next has to return.
-	nextID    uint64
+	// nextID is the number of the next event to return.
+	nextID uint64
+	// remaining is the number of bytes of data that may still arrive before the response exceeds its limit.
 	remaining int64
-	err       error
+	// err is what Next returns from now on: io.EOF after the end marker.
+	err error
 }
 
-func newStreamResponse(resp *http.Response, first uint64, maxAnswer int64, maxEvent int) *streamResponse {
+func newStreamResponse(resp *http.Response, first uint64, maxResponse int64, maxEvent int) *streamResponse {
 	return &streamResponse{
 		resp:      resp,
 		header:    httpheader.StripHopByHop(resp.Header),
 		parser:    sse.NewParser(resp.Body, maxEvent),
 		nextID:    first,
-		remaining: maxAnswer,
+		remaining: maxResponse,
 	}
 }
 
