--- a/pkg/request/chart.go
+++ b/pkg/request/chart.go
@@ -9,7 +9,7 @@
 //go:embed request.chart
 var chartFile []byte
 
-// States of a request.
+// States of a request. Their names are those in request.chart.
 const (
 	received      chart.State = "received"
 	authenticated chart.State = "authenticated"
@@ -31,7 +31,7 @@
 	failed        chart.State = "failed"
 )
 
-// Events that leave a state.
+// Events that cause a transition. Their names are those in request.chart.
 const (
 	evAuthenticate chart.Event = "authenticate"
 	evAdmit        chart.Event = "admit"
--- a/pkg/request/crash_test.go
+++ b/pkg/request/crash_test.go
@@ -18,21 +18,22 @@
 	"github.com/mallowlink/mallowlink/pkg/work/worktest"
 )
 
-// crashCase brings a request to a state, so that its VM can be crashed there.
+// crashCase describes how to bring a request into a given state, so that its VM can be crashed there.
 type crashCase struct {
 	plan worktest.Plan
-	// fault makes the owner's faults.
+	// fault returns a new fault function for the owner; nil means no faults.
 	fault func() func(method string) worktest.Fault
-	// prepare changes the world before the request, for example by an earlier one.
-	prepare func(t *testing.T, w *world)
-	// leaveAfter is when the caller goes away; 0 means never.
+	// prepare sets up the fixture before the request, for example by sending an earlier request.
+	prepare func(t *testing.T, fx *fixture)
+	// leaveAfter is the time after which the caller disconnects; 0 means that it stays connected.
 	leaveAfter time.Duration
 }
 
 var slowPlan = worktest.Plan{Events: 2, QueueFor: 10 * time.Millisecond, EventEvery: 10 * time.Millisecond}
 
-// once returns fault for the first call of the method, and None after that.
-func once(method string, fault worktest.Fault) func() func(string) worktest.Fault {
+// faultOnce makes fault functions that return fault for the first call of the method, and None
+// for all other calls.
+func faultOnce(method string, fault worktest.Fault) func() func(string) worktest.Fault {
 	return func() func(string) worktest.Fault {
 		var done atomic.Bool
 		return func(called string) worktest.Fault {
@@ -44,7 +45,7 @@
 	}
 }
 
-// crashCases has one case for each state that is not final. A new state needs one.
+// crashCases holds exactly one case for each non-final state. A new state must be added here.
 var crashCases = map[chart.State]crashCase{
 	received:      {plan: slowPlan},
 	authenticated: {plan: slowPlan},
@@ -55,20 +56,21 @@
 	started:       {plan: slowPlan},
 	streaming:     {plan: slowPlan},
 	completing:    {plan: slowPlan},
-	replaying: {plan: slowPlan, prepare: func(t *testing.T, w *world) {
-		require.Nil(t, w.entries[1].Run(t.Context(), newCall("r0", "k"), &sink{}))
+	replaying: {plan: slowPlan, prepare: func(t *testing.T, fx *fixture) {
+		require.Nil(t, fx.entries[1].Run(t.Context(), newCall("r0", "k"), &sink{}))
 	}},
-	recovering: {plan: slowPlan, fault: once("Submit", worktest.LoseReply)},
-	backoff:    {plan: slowPlan, fault: once("Submit", worktest.LoseRequest)},
+	recovering: {plan: slowPlan, fault: faultOnce("Submit", worktest.LoseReply)},
+	backoff:    {plan: slowPlan, fault: faultOnce("Submit", worktest.LoseRequest)},
 	following:  {plan: worktest.Plan{Events: 2, EventEvery: time.Second}, leaveAfter: 500 * time.Millisecond},
 	releasing:  {plan: worktest.Plan{Unstarted: true, Failure: &work.Failure{Code: result.QueueFull, Outcome: result.NotRun}}},
 }
 
 var errCrash = errors.New("crashed by the test")
 
-// TestCrashAtEveryStep crashes the VM of a non-idempotent request before and after each step, and
-// has its caller send it again through another VM. It runs at most once, and a caller that is told
-// not-run or given an answer is told the truth.
+// TestCrashAtEveryStep guards against non-idempotent requests that run twice, and against wrong
+// outcomes, when the VM crashes. It crashes the VM of a request before and after each step and
+// sends the request again through another VM. The request must run at most once in total, and an
+// outcome of not-run or a delivered answer must agree with what the endpoint ran.
 func TestCrashAtEveryStep(t *testing.T) {
 	for _, state := range requestChart.States() {
 		if requestChart.Final(state) {
@@ -94,33 +96,33 @@
 		}
 		return nil
 	}
-	w := newWorld(plan(c.plan), hook)
+	fx := newFixture(plan(c.plan), hook)
 	if c.fault != nil {
-		w.owner.Fault = c.fault()
+		fx.owner.Fault = c.fault()
 	}
 	if c.prepare != nil {
-		c.prepare(t, w)
+		c.prepare(t, fx)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	if c.leaveAfter > 0 {
 		time.AfterFunc(c.leaveAfter, cancel)
 	}
-	w.entries[0].Run(ctx, newCall("r1", "k"), &sink{})
+	fx.entries[0].Run(ctx, newCall("r1", "k"), &sink{})
 	synctest.Wait()
 	for i := range 4 {
 		time.Sleep(2 * time.Second)
 		id := fmt.Sprintf("r%d", i+2)
 		caller := &sink{}
-		e := w.entries[1].Run(t.Context(), newCall(id, "k"), caller)
-		require.LessOrEqual(t, w.endpoint.Total(), 1, "ran twice")
+		e := fx.entries[1].Run(t.Context(), newCall(id, "k"), caller)
+		require.LessOrEqual(t, fx.endpoint.Total(), 1, "ran twice")
 		switch {
 		case e == nil:
-			require.Equal(t, 1, w.endpoint.Total())
+			require.Equal(t, 1, fx.endpoint.Total())
 			require.True(t, caller.whole)
 			require.Contains(t, string(caller.body), "answer to r")
 		case e.Outcome == result.NotRun:
-			require.Zero(t, w.endpoint.Runs(id))
+			require.Zero(t, fx.endpoint.Runs(id))
 		}
 	}
 	require.True(t, crashed, "the case does not reach state %q", state)
--- a/pkg/request/world_test.go
+++ b/pkg/request/fixture_test.go
@@ -24,7 +24,7 @@
 	"github.com/mallowlink/mallowlink/pkg/work/worktest"
 )
 
-// TestMain fixes the seed of the property tests unless the command names one.
+// TestMain sets the seed of the property tests to 1 unless -rapid.seed is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
@@ -34,7 +34,7 @@
 	os.Exit(m.Run())
 }
 
-// fakeQuota counts the tokens that are spent.
+// fakeQuota admits every request and counts the tokens that were charged and not returned.
 type fakeQuota struct {
 	mu    sync.Mutex
 	spent int64
@@ -53,13 +53,13 @@
 	q.spent -= n
 }
 
-func (q *fakeQuota) left() int64 {
+func (q *fakeQuota) outstanding() int64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.spent
 }
 
-// fakeMemory counts the bytes that are held.
+// fakeMemory grants every reservation and counts the reserved bytes.
 type fakeMemory struct {
 	mu   sync.Mutex
 	used int64
@@ -78,7 +78,7 @@
 	m.used -= n
 }
 
-// sink records what a caller gets.
+// sink records what is sent to a caller.
 type sink struct {
 	gone   bool
 	status int
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// world is a fleet of two entries, an owner, an endpoint and a table.
-type world struct {
+// fixture is a test fleet: two entries, one owner, one endpoint and one table of records.
+type fixture struct {
 	endpoint  *worktest.Endpoint
 	owner     *worktest.Owner
 	directory *worktest.Directory
@@ -132,8 +132,8 @@
 
 const testGroup = "g"
 
-func newWorld(plan func(*work.Request) worktest.Plan, hook Hook) *world {
-	w := &world{
+func newFixture(plan func(*work.Request) worktest.Plan, hook Hook) *fixture {
+	fx := &fixture{
 		endpoint:  worktest.NewEndpoint(plan),
 		directory: worktest.NewDirectory(),
 		table:     ledgertest.New(),
@@ -141,35 +141,36 @@
 		memory:    &fakeMemory{},
 		registry:  metrics.NewRegistry(),
 	}
-	w.owner = worktest.NewOwner("owner/1", w.endpoint)
-	w.directory.Set(testGroup, w.owner)
+	fx.owner = worktest.NewOwner("owner/1", fx.endpoint)
+	fx.directory.Set(testGroup, fx.owner)
 	for range 2 {
-		w.entries = append(w.entries, w.newEntry(hook))
+		fx.entries = append(fx.entries, fx.newEntry(hook))
 	}
-	return w
+	return fx
 }
 
-func (w *world) newEntry(hook Hook) *Service {
+func (fx *fixture) newEntry(hook Hook) *Service {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return NewService(Config{
-		Directory: w.directory,
-		Quota:     w.quota,
-		Ledger:    ledger.New(w.table, OwnerProver{Directory: w.directory}, w.registry, log),
+		Directory: fx.directory,
+		Quota:     fx.quota,
+		Ledger:    ledger.New(fx.table, OwnerProver{Directory: fx.directory}, fx.registry, log),
 		Suspects:  suspect.NewGuard(suspect.NewTable(suspect.OwnerLimits()), nil),
 		Retries:   retry.New(),
-		Memory:    w.memory,
-		Metrics:   w.registry,
+		Memory:    fx.memory,
+		Metrics:   fx.registry,
 		Log:       log,
 		Hook:      hook,
 	})
 }
 
-func (w *world) count(name string) int64 {
-	return metrics.GetOrRegisterCounter(name, w.registry).Count()
+// counter returns the value of the counter.
+func (fx *fixture) counter(name string) int64 {
+	return metrics.GetOrRegisterCounter(name, fx.registry).Count()
 }
 
-// newCall returns a plain non-idempotent call with an Idempotency-Key.
+// newCall returns a non-idempotent call to a plain service. An empty key means no Idempotency-Key.
 func newCall(id, key string) *Call {
 	return &Call{
 		ID: id, Account: "a", Weight: 1, Route: "issue", Groups: []string{testGroup},
@@ -180,7 +181,7 @@
 	}
 }
 
-// newIdempotent returns a call of a model engine.
+// newIdempotent returns an idempotent call to a model engine.
 func newIdempotent(id string, stream bool) *Call {
 	call := newCall(id, "")
 	call.Idempotent = true
@@ -189,6 +190,7 @@
 	return call
 }
 
+// plan returns a plan function that uses p for every attempt.
 func plan(p worktest.Plan) func(*work.Request) worktest.Plan {
 	return func(*work.Request) worktest.Plan { return p }
 }
--- a/pkg/request/metrics.go
+++ b/pkg/request/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/rcrowley/go-metrics"
 
-// Names of the counters.
+// Names of the metrics of this package.
 const (
 	MetricRequests      = "request.received"
 	MetricAnswered      = "request.answered"
@@ -23,12 +23,14 @@
 	MetricOpen          = "request.open"
 )
 
-// The sample of durations favours the last five minutes.
+// Parameters of the exponentially decaying sample of request durations. With this alpha the sample
+// is weighted towards the last five minutes.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
 
+// counters holds the metrics of a Service.
 type counters struct {
 	requests, answered, replayed, refused, failed metrics.Counter
 	attempts, reruns, resumes, notRunRetries      metrics.Counter
--- a/pkg/request/model_test.go
+++ b/pkg/request/model_test.go
@@ -18,31 +18,32 @@
 	"github.com/mallowlink/mallowlink/pkg/work/worktest"
 )
 
-// kind is what a caller sends.
+// kind says whether a request is idempotent, has an Idempotency-Key or is streamed.
 type kind int
 
 const (
 	keyed    kind = iota // non-idempotent, with an Idempotency-Key
-	unkeyed              // non-idempotent, without
+	unkeyed              // non-idempotent, without an Idempotency-Key
 	plain                // idempotent
 	streamed             // idempotent, as a stream
 )
 
-// sending is one request of the schedule.
-type sending struct {
+// requestSpec describes one request of the schedule.
+type requestSpec struct {
 	Kind    kind
 	Key     int
 	Body    int
 	Entry   int
 	At      time.Duration
-	LeaveAt time.Duration // 0 means that the caller stays
-	// CrashAt is the step at which the entry's VM crashes under the request; 0 means never.
+	LeaveAt time.Duration // 0 means that the caller stays connected
+	// CrashAt counts hook calls, two for each step; at this one the entry's VM crashes, which ends
+	// its work on the request. 0 means never.
 	CrashAt int
 }
 
-// schedule is a whole run: what is sent, and what fails.
+// schedule describes one test run: the requests, the faults and the changes of the group's owner.
 type schedule struct {
-	Sendings    []sending
+	Requests    []requestSpec
 	OwnerFaults []worktest.Fault
 	TableFaults []ledgertest.Fault
 	Plans       []worktest.Plan
@@ -50,7 +51,7 @@
 	MoveAt      time.Duration
 }
 
-// pieces is the number of pieces of each answer.
+// pieces is the number of Data events of each answer.
 const pieces = 4
 
 const millisecond = int(time.Millisecond)
@@ -71,7 +72,7 @@
 		MoveAt: drawDuration(t, 2000, "moveAt"),
 	}
 	for range rapid.IntRange(1, 8).Draw(t, "sendings") {
-		s.Sendings = append(s.Sendings, drawSending(t))
+		s.Requests = append(s.Requests, drawSending(t))
 	}
 	for range rapid.IntRange(1, 6).Draw(t, "plans") {
 		s.Plans = append(s.Plans, drawPlan(t))
@@ -79,8 +80,8 @@
 	return s
 }
 
-func drawSending(t *rapid.T) sending {
-	s := sending{
+func drawSending(t *rapid.T) requestSpec {
+	s := requestSpec{
 		Kind:  kind(rapid.IntRange(0, 3).Draw(t, "kind")),
 		Key:   rapid.IntRange(0, 1).Draw(t, "key"),
 		Body:  rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "body"),
@@ -117,17 +118,18 @@
 	return p
 }
 
-// told is what one caller was told.
-type told struct {
-	sending
+// callerResult is the response that one caller received, with the request that it sent.
+type callerResult struct {
+	requestSpec
 	id      string
 	err     *result.Error
 	sink    *sink
 	crashed bool
 }
 
-// play runs the schedule and returns what the callers were told.
-func play(t *testing.T, s schedule) (*world, []*told) {
+// runSchedule sends the requests of the schedule, injects its faults, and returns what each caller
+// received. At the end it sends one further request with each Idempotency-Key.
+func runSchedule(t *testing.T, s schedule) (*fixture, []*callerResult) {
 	var mu sync.Mutex
 	steps := map[string]int{}
 	crashAt := map[string]int{}
@@ -140,28 +142,28 @@
 		}
 		return nil
 	}
-	w := newWorld(cycle(&mu, s.Plans), hook)
-	w.owner.Fault = faults(&mu, s.OwnerFaults)
-	w.table.Fault = func() ledgertest.Fault { return popFault(&mu, &s.TableFaults) }
-	w.changeOwners(s)
+	fx := newFixture(cyclePlans(&mu, s.Plans), hook)
+	fx.owner.Fault = nextOwnerFault(&mu, s.OwnerFaults)
+	fx.table.Fault = func() ledgertest.Fault { return nextTableFault(&mu, &s.TableFaults) }
+	fx.changeOwners(s)
 	var wait sync.WaitGroup
-	var all []*told
-	for i, sent := range s.Sendings {
-		c := &told{sending: sent, id: fmt.Sprintf("r%d", i), sink: &sink{}}
+	var all []*callerResult
+	for i, sent := range s.Requests {
+		c := &callerResult{requestSpec: sent, id: fmt.Sprintf("r%d", i), sink: &sink{}}
 		all = append(all, c)
 		crashAt[c.id] = sent.CrashAt
 	}
 	for _, c := range all {
 		wait.Go(func() {
 			time.Sleep(c.At)
-			c.send(t.Context(), w)
+			c.send(t.Context(), fx)
 		})
 	}
 	wait.Wait()
 	time.Sleep(time.Hour)
 	for key := range 2 {
-		c := &told{sending: sending{Kind: keyed, Key: key}, id: fmt.Sprintf("last%d", key), sink: &sink{}}
-		c.send(t.Context(), w)
+		c := &callerResult{requestSpec: requestSpec{Kind: keyed, Key: key}, id: fmt.Sprintf("last%d", key), sink: &sink{}}
+		c.send(t.Context(), fx)
 		all = append(all, c)
 	}
 	time.Sleep(time.Hour)
@@ -170,24 +172,25 @@
 	for _, c := range all {
 		c.crashed = c.CrashAt > 0 && steps[c.id] >= c.CrashAt
 	}
-	return w, all
+	return fx, all
 }
 
-// changeOwners hands the group over, and kills the first owner.
-func (w *world) changeOwners(s schedule) {
+// changeOwners schedules the changes of the group's owner: at MoveAt a second owner takes over while
+// the first still runs; at KillAt the first owner is killed and a third one takes over.
+func (fx *fixture) changeOwners(s schedule) {
 	if s.MoveAt > 0 {
-		time.AfterFunc(s.MoveAt, func() { w.directory.Set(testGroup, worktest.NewOwner("owner/2", w.endpoint)) })
+		time.AfterFunc(s.MoveAt, func() { fx.directory.Set(testGroup, worktest.NewOwner("owner/2", fx.endpoint)) })
 	}
 	if s.KillAt > 0 {
-		first := w.owner
+		first := fx.owner
 		time.AfterFunc(s.KillAt, func() {
 			first.Kill()
-			w.directory.Set(testGroup, worktest.NewOwner("owner/3", w.endpoint))
+			fx.directory.Set(testGroup, worktest.NewOwner("owner/3", fx.endpoint))
 		})
 	}
 }
 
-func (c *told) send(ctx context.Context, w *world) {
+func (c *callerResult) send(ctx context.Context, fx *fixture) {
 	call := newCall(c.id, fmt.Sprint("k", c.Key))
 	call.BodyHash = fmt.Sprint("body", c.Body)
 	call.Fingerprint = uint64(c.Key + 2)
@@ -203,10 +206,10 @@
 	if c.LeaveAt > 0 {
 		time.AfterFunc(c.LeaveAt, cancel)
 	}
-	c.err = w.entries[c.Entry].Run(ctx, call, c.sink)
+	c.err = fx.entries[c.Entry].Run(ctx, call, c.sink)
 }
 
-func cycle(mu *sync.Mutex, plans []worktest.Plan) func(*work.Request) worktest.Plan {
+func cyclePlans(mu *sync.Mutex, plans []worktest.Plan) func(*work.Request) worktest.Plan {
 	next := 0
 	return func(*work.Request) worktest.Plan {
 		mu.Lock()
@@ -216,7 +219,7 @@
 	}
 }
 
-func faults(mu *sync.Mutex, list []worktest.Fault) func(string) worktest.Fault {
+func nextOwnerFault(mu *sync.Mutex, list []worktest.Fault) func(string) worktest.Fault {
 	return func(string) worktest.Fault {
 		mu.Lock()
 		defer mu.Unlock()
@@ -229,7 +232,7 @@
 	}
 }
 
-func popFault(mu *sync.Mutex, list *[]ledgertest.Fault) ledgertest.Fault {
+func nextTableFault(mu *sync.Mutex, list *[]ledgertest.Fault) ledgertest.Fault {
 	mu.Lock()
 	defer mu.Unlock()
 	if len(*list) == 0 {
@@ -240,22 +243,23 @@
 	return f
 }
 
-// ledgerModel is the naive sequential reference: the one answer of each Idempotency-Key, and the
-// runs that it stands for.
+// ledgerModel is the reference model of the at-most-once records: for each Idempotency-Key the one
+// answer that callers may receive, and the number of times that its requests ran.
 type ledgerModel struct {
 	answer map[int][]byte
 	runs   map[int]int
 }
 
-// violations returns where the callers' view and the endpoint's record disagree with the promises.
-func violations(w *world, all []*told) []string {
+// violations compares what the callers received with the endpoint's own record of what ran, and
+// returns a description of each broken guarantee.
+func violations(fx *fixture, all []*callerResult) []string {
 	var found []string
-	report := func(c *told, format string, args ...any) {
+	report := func(c *callerResult, format string, args ...any) {
 		found = append(found, c.id+": "+fmt.Sprintf(format, args...))
 	}
 	model := ledgerModel{answer: map[int][]byte{}, runs: map[int]int{}}
 	for _, c := range all {
-		runs := w.endpoint.Runs(c.id)
+		runs := fx.endpoint.Runs(c.id)
 		if c.Kind == keyed {
 			model.runs[c.Key] += runs
 		}
@@ -268,10 +272,10 @@
 		if c.err != nil && c.err.Outcome == result.NotRun && runs > 0 {
 			report(c, "told not-run (%v), ran", c.err)
 		}
-		if c.err == nil && !c.whole(model.answer) {
+		if c.err == nil && !c.gotWholeAnswer(model.answer) {
 			report(c, "answer is not whole, its own, or the recorded one: %q", c.sink.body)
 		}
-		if !c.prefix() {
+		if !c.gotEventPrefix() {
 			report(c, "stream has a gap, a repeat or another's event")
 		}
 	}
@@ -283,9 +287,10 @@
 	return found
 }
 
-// whole reports whether the caller has the whole answer to its own request, or the answer that
-// others with the same Idempotency-Key got.
-func (c *told) whole(answers map[int][]byte) bool {
+// gotWholeAnswer reports whether the caller received the complete answer to its own request, or the
+// recorded answer that other requests with the same Idempotency-Key received. answers holds the
+// answer of each key seen so far, and is updated.
+func (c *callerResult) gotWholeAnswer(answers map[int][]byte) bool {
 	if !c.sink.whole {
 		return false
 	}
@@ -303,8 +308,9 @@
 	return !ok || bytes.Equal(known, c.sink.body)
 }
 
-// prefix reports whether the events that reached the caller are its own, from the first on.
-func (c *told) prefix() bool {
+// gotEventPrefix reports whether the stream events that reached the caller are the first events of
+// its own answer, in order and without a gap.
+func (c *callerResult) gotEventPrefix() bool {
 	for i, piece := range c.sink.pieces {
 		if !bytes.Equal(piece, worktest.Piece(c.id, i)) {
 			return false
@@ -313,15 +319,18 @@
 	return true
 }
 
-// TestCallersView checks the promises under drawn schedules of requests and faults at every hop.
+// TestCallersView guards against duplicate runs, wrong outcomes and corrupted streams under
+// combinations of faults. It draws random schedules of requests, lost and duplicated messages,
+// table faults, VM crashes and changes of owner, and checks what each caller received against what
+// the endpoint ran. No request may stay open at the end.
 func TestCallersView(t *testing.T) {
 	answered, refusedNotRun, unknown := 0, 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawSchedule(rt)
 		var found []string
 		synctest.Test(t, func(t *testing.T) {
-			w, all := play(t, s)
-			found = violations(w, all)
+			fx, all := runSchedule(t, s)
+			found = violations(fx, all)
 			for _, c := range all {
 				switch {
 				case c.err == nil:
@@ -332,7 +341,7 @@
 					unknown++
 				}
 			}
-			for _, entry := range w.entries {
+			for _, entry := range fx.entries {
 				if open := entry.Open(); len(open) > 0 {
 					found = append(found, fmt.Sprintf("still open: %+v", open))
 				}
--- a/pkg/request/policy.go
+++ b/pkg/request/policy.go
@@ -5,39 +5,40 @@
 	"github.com/mallowlink/mallowlink/pkg/work"
 )
 
-// verdict says what follows the failure of an attempt.
-type verdict uint8
+// failureAction is what the entry does after an attempt has failed.
+type failureAction uint8
 
 const (
-	// deliver ends the request with the failure.
-	deliver verdict = iota + 1
-	// again makes another attempt: the failed one has not run.
-	again
-	// rerun makes another attempt of an idempotent request, within the retry budget if it had started.
-	rerun
-	// resume continues the stream where it stopped.
-	resume
-	// cut ends a stream of which a part has reached the caller.
-	cut
+	// actionFail ends the request and returns the failure to the caller.
+	actionFail failureAction = iota + 1
+	// actionRetry makes another attempt. The failed one is known not to have run.
+	actionRetry
+	// actionRerun makes another attempt of an idempotent request whose failed attempt may have run.
+	// It counts against the retry budget if the failed attempt had started.
+	actionRerun
+	// actionResume continues the stream at the engine after the last event that the caller received.
+	actionResume
+	// actionCut ends, incomplete, a stream of which the caller has already received a part.
+	actionCut
 )
 
-// situation is what the decision on a failed attempt depends on.
-type situation struct {
+// failureContext holds what decide considers about a failed attempt, besides the failure itself.
+type failureContext struct {
 	idempotent bool
 	stream     bool
-	// headSeen says that the attempt had brought the head of an answer.
+	// headSeen says that the attempt had reported the status and headers of an answer.
 	headSeen bool
-	// delivered counts the stream events that the caller has.
+	// delivered is the number of stream events that were sent to the caller.
 	delivered uint64
-	// engineID is the engine's identifier of the attempt; empty if it is not known to have started.
+	// engineID is the engine's identifier of the stream; empty if no attempt is known to have started.
 	engineID string
-	// futile says that the attempt was itself a resumption and brought nothing.
-	futile bool
+	// resumeFailed says that the attempt was itself a resumption and ended before its Head event.
+	resumeFailed bool
 }
 
-// transient reports whether an attempt refused with the code is made again without the caller
-// noticing: its group is changing hands.
-func transient(code result.Code) bool {
+// isTransient reports whether an attempt that was refused with the code is retried without an error
+// to the caller. These codes occur while the ownership of a group moves to another VM.
+func isTransient(code result.Code) bool {
 	switch code {
 	case result.NoOwner, result.OwnerLost, result.Draining, result.Withdrawn:
 		return true
@@ -45,32 +46,32 @@
 	return false
 }
 
-// decide returns what follows the failure of an attempt.
-func decide(s situation, f *work.Failure) verdict {
+// decide returns the action for the failure f of an attempt.
+func decide(s failureContext, f *work.Failure) failureAction {
 	notRun := f.Outcome == result.NotRun && !s.headSeen
-	if notRun && transient(f.Code) {
-		return again
+	if notRun && isTransient(f.Code) {
+		return actionRetry
 	}
 	if !s.idempotent {
-		return deliver
+		return actionFail
 	}
-	if notRun && s.delivered == 0 && !s.futile {
-		return deliver
+	if notRun && s.delivered == 0 && !s.resumeFailed {
+		return actionFail
 	}
-	if final(f.Code) {
-		return deliver
+	if isFinal(f.Code) {
+		return actionFail
 	}
-	if s.stream && s.delivered > 0 && s.engineID != "" && !f.Crashed && !s.futile {
-		return resume
+	if s.stream && s.delivered > 0 && s.engineID != "" && !f.Crashed && !s.resumeFailed {
+		return actionResume
 	}
 	if s.delivered == 0 {
-		return rerun
+		return actionRerun
 	}
-	return cut
+	return actionCut
 }
 
-// final reports whether no other attempt could end differently.
-func final(code result.Code) bool {
+// isFinal reports whether the code rules out a further attempt, because it would end the same way.
+func isFinal(code result.Code) bool {
 	switch code {
 	case result.DeadlinePassed, result.AnswerTooLarge, result.Suspect, result.Internal:
 		return true
--- a/pkg/request/prover.go
+++ b/pkg/request/prover.go
@@ -8,12 +8,15 @@
 	"github.com/mallowlink/mallowlink/pkg/work"
 )
 
-// OwnerProver is the ledger's Prover: it has the owner that a record names withdraw the attempt.
+// OwnerProver implements the ledger's Prover. It asks the owner that a record names to withdraw the
+// attempt.
 type OwnerProver struct {
 	Directory work.Directory
 }
 
-// ProveNotRun reports whether the holder's owner has withdrawn the attempt before its start.
+// ProveNotRun reports whether the owner named by holder confirms that the attempt was withdrawn
+// before it started. It returns false if another VM, or another incarnation of the same VM, owns the
+// group now, because that owner doesn't know what its predecessor ran.
 func (p OwnerProver) ProveNotRun(ctx context.Context, holder ledger.Holder) bool {
 	vm, owner, err := p.Directory.OwnerOf(holder.Group)
 	if err != nil || vm != holder.Owner {
--- a/pkg/request/request.go
+++ b/pkg/request/request.go
@@ -1,5 +1,7 @@
-// Package request follows one caller's request from its arrival to its one final answer, over as
-// many attempts as it takes. The steps are those of request.chart.
+// Package request drives callers' requests on the VM that received them (the entry). For each
+// request it checks the key and the quota, writes the at-most-once record, sends attempts to the VM
+// that owns an endpoint group (the owner), retries or resumes after failures, and delivers exactly
+// one final answer or error. The states and transitions of a request are defined in request.chart.
 package request
 
 import (
@@ -23,7 +25,7 @@
 	"github.com/mallowlink/mallowlink/pkg/work"
 )
 
-// Call is a caller's request, authenticated once and stripped of its key.
+// Call is a caller's request after authentication. It does not contain the caller's API key.
 type Call struct {
 	ID      string
 	Account string
@@ -31,17 +33,20 @@
 	Class   bundle.Class
 	// Route is the name of the route; it is part of the at-most-once record's key.
 	Route string
-	// Groups are the endpoint groups that can serve the request, best first. There is at least one.
+	// Groups lists the endpoint groups that can serve the request in order of preference. It has at
+	// least one element.
 	Groups []string
-	// Adapter is empty for plain services.
+	// Adapter is empty for requests to plain services, which are not model engines.
 	Adapter    endpoint.AdapterVersion
 	PrefixHash uint64
-	// Tokens is the charge: prompt plus upper bound of the answer.
+	// Tokens is the number of tokens charged on admission: those of the prompt plus the upper bound of
+	// the answer.
 	Tokens int64
-	// PromptTokens is the prompt's part of Tokens.
+	// PromptTokens is the part of Tokens that is due to the prompt.
 	PromptTokens int64
 	Idempotent   bool
-	// IdempotencyKey is the caller's name for a non-idempotent request; empty if it gave none.
+	// IdempotencyKey is the Idempotency-Key that the caller sent with a non-idempotent request; empty
+	// if it sent none.
 	IdempotencyKey string
 	// BodyHash is the hexadecimal SHA-256 of method, path and body.
 	BodyHash    string
@@ -50,23 +55,24 @@
 	RetryPercent float64
 	Deadline     time.Time
 	Endpoint     endpoint.Request
-	// Authorized reports whether the caller's key still admits the request.
+	// Authorized reports whether the caller's API key is still valid for the request.
 	Authorized func() bool
 }
 
-// Sink takes the answer to the caller. An error means that the caller is gone.
+// Sink delivers the answer to the caller. An error from any method means that the caller has
+// disconnected.
 type Sink interface {
-	// Begin sends the head of a stream.
+	// Begin sends the status and headers of a stream.
 	Begin(status int, header http.Header) error
 	// Event sends one event of the stream.
 	Event(data []byte) error
 	// Finish sends the end marker of the stream.
 	Finish() error
-	// Answer sends a whole plain answer.
+	// Answer sends a complete answer that is not a stream.
 	Answer(status int, header http.Header, body []byte) error
 }
 
-// Recorder keeps the at-most-once records.
+// Recorder stores the at-most-once records of non-idempotent requests. ledger.Ledger implements it.
 type Recorder interface {
 	Begin(ctx context.Context, key ledger.Key, bodyHash string, holder ledger.Holder) (*ledger.Handle, *ledger.Answer, error)
 	Rebind(ctx context.Context, h *ledger.Handle, holder ledger.Holder) error
@@ -74,21 +80,22 @@
 	Release(ctx context.Context, h *ledger.Handle) error
 }
 
-// Suspects tells which requests have crashed endpoints.
+// Suspects tracks the requests that have crashed endpoints, by fingerprint.
 type Suspects interface {
 	Admit(fingerprint uint64) (suspect.Decision, time.Duration)
 	CrashSeen(fingerprint uint64, crash string)
 	Cleared(fingerprint uint64)
 }
 
-// Memory bounds the bytes that answers may occupy while they are not whole.
+// Memory limits the total size of the answers that are buffered until they are complete.
 type Memory interface {
-	// Take reserves n bytes, or reports false.
+	// Take reserves n bytes. It returns false, and reserves nothing, if the limit would be exceeded.
 	Take(n int64) bool
+	// Give releases n reserved bytes.
 	Give(n int64)
 }
 
-// Side tells whether a Hook is called before or after a step.
+// Side says whether a Hook is called before or after a step.
 type Side uint8
 
 // Sides of a step.
@@ -97,11 +104,11 @@
 	After
 )
 
-// Hook is called around each step. It is for fault injection in tests; a hook that returns an error
-// stops the request dead, as a crash of the VM would.
+// Hook is called before and after each step, for fault injection in tests. If it returns an error,
+// the work on the request stops at once without any cleanup, as in a crash of the VM.
 type Hook func(id string, state chart.State, side Side) error
 
-// Config holds the service's collaborators.
+// Config holds the dependencies of a Service.
 type Config struct {
 	Directory work.Directory
 	Quota     quota.Admitter
@@ -115,13 +122,13 @@
 	Hook Hook
 }
 
-// Service follows requests.
+// Service drives the requests that arrive at this VM. It is safe for concurrent use.
 type Service struct {
 	cfg     Config
 	metrics counters
 
 	mu   sync.Mutex
-	open map[string]*run
+	open map[string]*execution
 	idle chan struct{} // closed and replaced whenever open becomes empty
 }
 
@@ -130,19 +137,20 @@
 	return &Service{
 		cfg:     cfg,
 		metrics: newCounters(cfg.Metrics),
-		open:    map[string]*run{},
+		open:    map[string]*execution{},
 		idle:    make(chan struct{}),
 	}
 }
 
-// Run follows the call until its caller has the whole answer in sink, and returns nil, or until its
-// final error, which it returns for the entry to deliver. A non-idempotent call whose caller has
-// gone or run out of time is followed on after Run has returned.
+// Run drives the call to its end. It returns nil once the whole answer was delivered to sink, or else
+// the final error, which must be delivered to the caller. If the caller of a non-idempotent call
+// disconnects or its deadline passes while an attempt may be running, Run returns, and a goroutine
+// follows the attempt to its end to complete the at-most-once record.
 func (s *Service) Run(ctx context.Context, call *Call, sink Sink) *result.Error {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
 	s.cfg.Retries.Deposit(call.RetryPercent)
-	r := &run{
+	r := &execution{
 		s:       s,
 		call:    call,
 		sink:    sink,
@@ -157,13 +165,13 @@
 	return r.drive()
 }
 
-func (s *Service) register(r *run) {
+func (s *Service) register(r *execution) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open[r.call.ID] = r
 }
 
-func (s *Service) unregister(r *run) {
+func (s *Service) unregister(r *execution) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, r.call.ID)
@@ -173,8 +181,8 @@
 	}
 }
 
-// Wait waits until no request is open. It returns the number of requests still open when ctx ends.
-// The records of their answers may still be being written; see ledger.Ledger.Flush.
+// Wait waits until no request is open or ctx ends, and returns the number of requests still open.
+// Records of completed answers may still be in the course of being written; see ledger.Ledger.Flush.
 func (s *Service) Wait(ctx context.Context) int {
 	for {
 		s.mu.Lock()
--- a/pkg/request/run.go
+++ b/pkg/request/run.go
@@ -13,9 +13,9 @@
 	"github.com/mallowlink/mallowlink/pkg/work"
 )
 
-// run is one request on its way through the chart. Its fields belong to the goroutine that drives
-// it, but for those that are read for the state dump, which s.mu guards.
-type run struct {
+// execution is the processing of one request according to the state chart. Its fields are used only by
+// the goroutine that drives it, except those read for the state dump, which are guarded by s.mu.
+type execution struct {
 	s       *Service
 	call    *Call
 	sink    Sink
@@ -32,37 +32,40 @@
 	endpoint string
 
 	current attempt
-	// plan is the owner found for the next attempt, if it was looked up early.
-	plan    *target
-	resume  *work.Resume // for the next attempt
-	exclude []string
-	// groupIndex is the group of call.Groups that the next attempt goes to.
+	// nextTarget is the owner of the next attempt if it was already looked up for the at-most-once
+	// record; otherwise nil.
+	nextTarget *target
+	resume     *work.Resume // set if the next attempt resumes a stream
+	exclude    []string
+	// groupIndex is the index in call.Groups of the group that the next attempt goes to.
 	groupIndex int
 	backoffs   int
-	// mayHaveRun says that an attempt that was given up is not proven not to have run.
+	// mayHaveRun says that an earlier attempt has run or may have run.
 	mayHaveRun bool
 	isolated   bool
 	charged    bool
-	// admitted is a time before which the account was not charged.
-	admitted time.Time
-	record   *ledger.Handle
-	replay   *ledger.Answer
-	answer   answer
-	// failure is the final error.
+	// admitStarted is when the call to Quota.Admit began: the account was not charged before then.
+	admitStarted time.Time
+	record       *ledger.Handle
+	replay       *ledger.Answer
+	answer       answer
+	// failure is the final error; nil if there is none.
 	failure *result.Error
-	// transient is why the last attempt did not run; it becomes final if time runs out.
-	transient *result.Error
-	// detached says that the caller has its final answer and only the record is outstanding.
+	// lastError is the error of the last failed attempt. It becomes the final error if the deadline
+	// leaves no time for another attempt.
+	lastError *result.Error
+	// detached says that the caller has received its final error, and that the attempt is followed only
+	// to complete the at-most-once record.
 	detached bool
 }
 
-// attempt is the state of the attempt that is under way.
+// attempt is the state of the current attempt.
 type attempt struct {
 	id        work.AttemptID
 	owner     work.Owner
 	vm        string
 	submitted time.Time
-	// next is the sequence number of the next event.
+	// next is the sequence number of the next event to process.
 	next     uint64
 	pending  []work.Event
 	started  bool
@@ -70,44 +73,46 @@
 	endpoint string
 	engineID string
 	resumed  bool
-	// losses counts the losses of the owner since its last event.
+	// losses counts the times that contact with the owner was lost since its last event.
 	losses int
 }
 
-// answer is what has come of the answer.
+// answer is the part of the answer that has arrived so far.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
-	// begun says that the caller has the head of a stream.
+	// begun says that the status and headers of a stream were sent to the caller.
 	begun bool
-	// events counts the stream events that the caller has.
+	// events is the number of stream events that were sent to the caller.
 	events uint64
-	// overflow says that the body was too large to keep.
+	// overflow says that the body was discarded because it exceeded MaxAnswerBytes or the memory limit.
 	overflow bool
 	used     usage
 }
 
-// steps holds the step of each state that is not final. Its result is the event that leaves it.
-var steps = map[chart.State]func(*run) chart.Event{
-	received:      (*run).authenticate,
-	authenticated: (*run).admit,
-	admitted:      (*run).writeRecord,
-	replaying:     (*run).deliverRecorded,
-	recorded:      (*run).chooseOwner,
-	submitted:     (*run).submit,
-	queued:        (*run).awaitStart,
-	started:       (*run).awaitHead,
-	streaming:     (*run).takeAnswer,
-	recovering:    (*run).recoverOwner,
-	backoff:       (*run).pause,
-	following:     (*run).follow,
-	completing:    (*run).complete,
-	releasing:     (*run).release,
+// steps holds the function to run in each non-final state. It returns the event that selects the
+// transition out of the state.
+var steps = map[chart.State]func(*execution) chart.Event{
+	received:      (*execution).authenticate,
+	authenticated: (*execution).admit,
+	admitted:      (*execution).writeRecord,
+	replaying:     (*execution).deliverRecorded,
+	recorded:      (*execution).chooseOwner,
+	submitted:     (*execution).submit,
+	queued:        (*execution).awaitStart,
+	started:       (*execution).awaitHead,
+	streaming:     (*execution).receiveAnswer,
+	recovering:    (*execution).recoverOwner,
+	backoff:       (*execution).awaitBackoff,
+	following:     (*execution).followDetached,
+	completing:    (*execution).complete,
+	releasing:     (*execution).release,
 }
 
-// drive runs the steps until the request has its final answer for the caller.
-func (r *run) drive() *result.Error {
+// drive runs steps until the request has ended or is detached. It returns the final error, or nil if
+// the answer was delivered.
+func (r *execution) drive() *result.Error {
 	r.s.metrics.requests.Inc(1)
 	r.s.metrics.open.Inc(1)
 	for !r.machine.Done() && !r.detached {
@@ -125,8 +130,8 @@
 	return r.failure
 }
 
-// driveDetached runs the remaining steps of a request whose caller has its final answer.
-func (r *run) driveDetached() {
+// driveDetached runs the remaining steps of a request whose caller has received its final error.
+func (r *execution) driveDetached() {
 	for !r.machine.Done() {
 		if !r.step() {
 			return
@@ -135,8 +140,9 @@
 	r.finish()
 }
 
-// step runs one step. It reports false if a hook stopped the request dead.
-func (r *run) step() bool {
+// step runs the step of the current state and makes the transition. It returns false if a hook stopped
+// the request or the chart does not allow the event.
+func (r *execution) step() bool {
 	state := r.machine.State()
 	if !r.hook(state, Before) {
 		return false
@@ -146,8 +152,8 @@
 		return false
 	}
 	if err := r.machine.Fire(event); err != nil {
-		r.log.WithFields(logrus.Fields{"event": "chart_rejected", "state": state}).WithError(err).Error("step gave a wrong event")
-		r.fail(result.New(result.Internal, "the request came to an undefined state"))
+		r.log.WithFields(logrus.Fields{"event": "chart_rejected", "state": state}).WithError(err).Error("state chart rejected the event returned by a step")
+		r.setFailure(result.New(result.Internal, "the request came to an undefined state"))
 		r.finish()
 		return false
 	}
@@ -155,7 +161,7 @@
 	return true
 }
 
-func (r *run) hook(state chart.State, side Side) bool {
+func (r *execution) hook(state chart.State, side Side) bool {
 	if r.s.cfg.Hook == nil {
 		return true
 	}
@@ -168,8 +174,8 @@
 	return true
 }
 
-// publish makes the new state visible in the state dump.
-func (r *run) publish() {
+// publish updates the fields that the state dump reads.
+func (r *execution) publish() {
 	r.s.mu.Lock()
 	defer r.s.mu.Unlock()
 	r.state = r.machine.State()
@@ -178,7 +184,7 @@
 }
 
 // describe returns the entry for the state dump. The caller holds s.mu.
-func (r *run) describe() OpenRequest {
+func (r *execution) describe() OpenRequest {
 	return OpenRequest{
 		ID:       r.call.ID,
 		State:    r.state,
@@ -190,8 +196,9 @@
 	}
 }
 
-func (r *run) finish() {
-	r.dropBody()
+// finish releases what the request holds, and logs and counts its end.
+func (r *execution) finish() {
+	r.releaseBody()
 	r.s.unregister(r)
 	r.s.metrics.open.Dec(1)
 	r.s.metrics.duration.Update(time.Since(r.began).Microseconds())
@@ -210,10 +217,10 @@
 		fields["outcome"] = r.failure.Outcome
 	}
 	r.log.WithFields(fields).Info("request ended")
-	r.count()
+	r.countOutcome()
 }
 
-func (r *run) count() {
+func (r *execution) countOutcome() {
 	m := &r.s.metrics
 	switch r.machine.State() {
 	case answered:
@@ -230,17 +237,19 @@
 	}
 }
 
-// end sets the final error and returns the event that leads to it. An error that claims not-run
-// is corrected if an earlier attempt may have run.
-func (r *run) end(e *result.Error) chart.Event {
-	r.fail(e)
+// endWithError sets the final error as setFailure does, and returns the event that ends the request
+// with it.
+func (r *execution) endWithError(e *result.Error) chart.Event {
+	r.setFailure(e)
 	if r.failure.Outcome == result.NotRun {
 		return evRefuse
 	}
 	return evFail
 }
 
-func (r *run) fail(e *result.Error) {
+// setFailure sets the final error to e. If e has the outcome not-run although an attempt may have run,
+// the outcome becomes may-have-run.
+func (r *execution) setFailure(e *result.Error) {
 	final := *e
 	if final.Outcome == result.NotRun && r.possiblyRan() {
 		final.Outcome = result.MayHaveRun
@@ -248,9 +257,10 @@
 	r.failure = &final
 }
 
-// interrupted returns the final error for a caller that is gone or out of time, of outcome not-run
-// as far as the current attempt goes.
-func (r *run) interrupted() *result.Error {
+// interrupted returns the final error for a caller that has disconnected or whose deadline has passed.
+// Its outcome, not-run, holds only if the current attempt has not run; the caller of this method
+// corrects it otherwise.
+func (r *execution) interrupted() *result.Error {
 	e := result.New(result.CallerGone, "the caller closed the connection")
 	if r.ctx.Err() == context.DeadlineExceeded {
 		e = result.New(result.DeadlinePassed, "the deadline has passed")
@@ -259,5 +269,5 @@
 	return e
 }
 
-// possiblyRan reports whether any attempt has run, as far as can be proven otherwise.
-func (r *run) possiblyRan() bool { return r.mayHaveRun || r.current.started }
+// possiblyRan reports whether any attempt has run or may have run.
+func (r *execution) possiblyRan() bool { return r.mayHaveRun || r.current.started }
--- a/pkg/request/steps_attempt.go
+++ b/pkg/request/steps_attempt.go
@@ -14,42 +14,46 @@
 )
 
 const (
-	// submitTimeout bounds one call of Owner.Submit.
+	// submitTimeout is the time limit of one call of Owner.Submit.
 	submitTimeout = 2 * time.Second
-	// nextGrace is how much longer than work.NextWait a call of Owner.Next may take.
+	// nextGrace is added to work.NextWait, for the transfer, to give the time limit of one call of
+	// Owner.Next.
 	nextGrace = 2 * time.Second
-	// MaxAnswerBytes bounds the body of a plain answer, which is kept until its end has come.
+	// MaxAnswerBytes is the largest body of an answer that is not a stream. Such a body is buffered
+	// until it is complete.
 	MaxAnswerBytes = 8 << 20
-	// firstNotOK is the lowest HTTP status that does not announce a stream.
-	firstNotOK = 300
+	// minNonSuccessStatus is the lowest HTTP status of an answer that is not a success. Such an answer
+	// is never a stream.
+	minNonSuccessStatus = 300
 )
 
-// Reasons for which an attempt gives no next event.
+// Errors of nextEvent and poll.
 var (
-	errInterrupted = errors.New("request: caller gone or out of time")
-	errWrongKey    = errors.New("request: key withdrawn")
-	errLost        = errors.New("request: owner lost")
+	errInterrupted  = errors.New("request: caller disconnected or deadline passed")
+	errKeyWithdrawn = errors.New("request: API key withdrawn while the attempt was queued")
+	errOwnerLost    = errors.New("request: lost contact with the owner of the attempt")
 )
 
-// chooseOwner prepares the next attempt.
-func (r *run) chooseOwner() chart.Event {
+// chooseOwner finds the owner for the next attempt and names it in the at-most-once record, if the
+// request has one. A withdrawn key does not prevent the resumption of a stream.
+func (r *execution) chooseOwner() chart.Event {
 	r.current = attempt{id: r.current.id, resumed: r.resume != nil}
 	if e := r.checkAllowed(); e != nil && (r.resume == nil || e.Code != result.WrongKey) {
-		return r.end(e)
+		return r.endWithError(e)
 	}
-	t := r.plan
-	r.plan = nil
+	t := r.nextTarget
+	r.nextTarget = nil
 	if t == nil {
 		found, e := r.lookup()
 		if e != nil {
-			return r.didNotRun(e)
+			return r.attemptNotRun(e)
 		}
 		t = found
 	}
 	holder := r.holder(t)
 	if r.record != nil && r.record.Holder() != holder {
 		if e := r.s.cfg.Ledger.Rebind(r.ctx, r.record, holder); e != nil {
-			return r.rebindFailed(resultOf(e, result.StoreDown))
+			return r.rebindFailed(asResultError(e, result.StoreDown))
 		}
 	}
 	r.current = attempt{
@@ -60,23 +64,25 @@
 	return evDispatch
 }
 
-func (r *run) setGroup(group string) {
+func (r *execution) setGroup(group string) {
 	r.s.mu.Lock()
 	defer r.s.mu.Unlock()
 	r.group = group
 }
 
-// rebindFailed ends a request whose record was taken over, and waits while the store is down.
-func (r *run) rebindFailed(e *result.Error) chart.Event {
+// rebindFailed handles a failure to name the next owner in the record. While the store is down the
+// request waits and tries again; otherwise the record belongs to another request and this one ends.
+func (r *execution) rebindFailed(e *result.Error) chart.Event {
 	if e.Code == result.StoreDown {
-		r.transient = e
+		r.lastError = e
 		return evNotRun
 	}
 	r.record = nil
-	return r.end(e)
+	return r.endWithError(e)
 }
 
-func (r *run) submit() chart.Event {
+// submit sends the attempt to its owner.
+func (r *execution) submit() chart.Event {
 	ctx, cancel := context.WithTimeout(r.ctx, submitTimeout)
 	defer cancel()
 	r.s.metrics.attempts.Inc(1)
@@ -85,17 +91,17 @@
 		return evAccept
 	}
 	if errors.Is(err, peer.ErrRefused) {
-		return r.didNotRun(result.New(result.NoOwner, "the owner is gone"))
+		return r.attemptNotRun(result.New(result.NoOwner, "the owner is gone"))
 	}
 	var e *result.Error
 	if errors.As(err, &e) && e.Outcome == result.NotRun {
-		return r.didNotRun(e)
+		return r.attemptNotRun(e)
 	}
 	return evLose
 }
 
-// message returns the attempt as the owner takes it.
-func (r *run) message() *work.Request {
+// message returns the attempt as it is sent to the owner.
+func (r *execution) message() *work.Request {
 	call := r.call.Endpoint
 	call.ID = fmt.Sprintf("%s-%d", r.call.ID, r.current.id.Attempt)
 	return &work.Request{
@@ -117,8 +123,9 @@
 	}
 }
 
-// nextEvent returns the attempt's next event, once and in order.
-func (r *run) nextEvent(checkKey bool) (work.Event, error) {
+// nextEvent returns the next event of the attempt. It drops events that were delivered before, and
+// returns errOwnerLost if one is missing.
+func (r *execution) nextEvent(checkKey bool) (work.Event, error) {
 	for {
 		for len(r.current.pending) > 0 {
 			event := r.current.pending[0]
@@ -129,7 +136,7 @@
 			}
 			if event.Seq > r.current.next {
 				r.current.pending = nil
-				return work.Event{}, errLost
+				return work.Event{}, errOwnerLost
 			}
 			r.current.next++
 			r.current.losses = 0
@@ -141,8 +148,9 @@
 	}
 }
 
-// poll asks the owner for events.
-func (r *run) poll(checkKey bool) error {
+// poll requests events from the owner. If checkKey is set and the attempt
+// has not started, it returns errKeyWithdrawn once the caller's key is no longer valid.
+func (r *execution) poll(checkKey bool) error {
 	if r.ctx.Err() != nil {
 		return errInterrupted
 	}
@@ -154,35 +162,37 @@
 		return errInterrupted
 	}
 	if err != nil {
-		return errLost
+		return errOwnerLost
 	}
-	if checkKey && !startsWith(events, work.Started) && !r.call.Authorized() {
-		return errWrongKey
+	if checkKey && !startsWithKind(events, work.Started) && !r.call.Authorized() {
+		return errKeyWithdrawn
 	}
 	return nil
 }
 
-func startsWith(events []work.Event, kind work.EventKind) bool {
+func startsWithKind(events []work.Event, kind work.EventKind) bool {
 	return len(events) > 0 && events[0].Kind == kind
 }
 
-func (r *run) awaitStart() chart.Event {
+// awaitStart waits until the attempt has started. If the caller's key is withdrawn before that, the
+// attempt is withdrawn as well; if it is too late for that, the attempt goes on.
+func (r *execution) awaitStart() chart.Event {
 	event, err := r.nextEvent(r.resume == nil)
-	if errors.Is(err, errWrongKey) {
+	if errors.Is(err, errKeyWithdrawn) {
 		if r.withdrawnInTime() {
 			r.s.metrics.keyWithdrawn.Inc(1)
-			return r.end(result.New(result.WrongKey, "the key was withdrawn while the request waited"))
+			return r.endWithError(result.New(result.WrongKey, "the key was withdrawn while the request waited"))
 		}
 		event, err = r.nextEvent(false)
 	}
 	if err != nil {
-		return r.noEvent(err)
+		return r.eventUnavailable(err)
 	}
 	if event.Kind == work.Failed {
 		return r.attemptFailed(event.Failure)
 	}
 	if event.Kind != work.Started {
-		return r.outOfOrder()
+		return r.unexpectedEvent()
 	}
 	r.current.started = true
 	r.current.endpoint = event.Endpoint
@@ -190,67 +200,70 @@
 	return evStart
 }
 
-func (r *run) awaitHead() chart.Event {
+// awaitHead waits for the status and headers of the answer.
+func (r *execution) awaitHead() chart.Event {
 	event, err := r.nextEvent(false)
 	if err != nil {
-		return r.noEvent(err)
+		return r.eventUnavailable(err)
 	}
 	if event.Kind == work.Failed {
 		return r.attemptFailed(event.Failure)
 	}
 	if event.Kind != work.Head {
-		return r.outOfOrder()
+		return r.unexpectedEvent()
 	}
-	if r.answer.begun && event.Status >= firstNotOK {
+	if r.answer.begun && event.Status >= minNonSuccessStatus {
 		return r.attemptFailed(&work.Failure{Code: result.AnswerCut, Outcome: result.MayHaveRun, Detail: "the stream could not be resumed"})
 	}
 	r.current.headSeen = true
-	r.dropBody()
+	r.releaseBody()
 	r.answer.overflow = false
 	r.answer.status = event.Status
 	r.answer.header = event.Header
 	return evHead
 }
 
-func (r *run) takeAnswer() chart.Event {
+// receiveAnswer receives the body of the answer up to the End event.
+func (r *execution) receiveAnswer() chart.Event {
 	for {
 		event, err := r.nextEvent(false)
 		if err != nil {
-			return r.noEvent(err)
+			return r.eventUnavailable(err)
 		}
 		switch event.Kind {
 		case work.Data:
-			if e := r.takeData(event.Data); e != nil {
-				return r.giveUp(e)
+			if e := r.receiveData(event.Data); e != nil {
+				return r.abandonAttempt(e)
 			}
 		case work.End:
 			return evEnd
 		case work.Failed:
 			return r.attemptFailed(event.Failure)
 		default:
-			return r.outOfOrder()
+			return r.unexpectedEvent()
 		}
 	}
 }
 
-// outOfOrder ends a request whose attempt reports what cannot follow.
-func (r *run) outOfOrder() chart.Event {
+// unexpectedEvent ends a request whose owner reported an event that is not valid in the current state.
+func (r *execution) unexpectedEvent() chart.Event {
 	r.mayHaveRun = true
-	return r.end(result.New(result.Internal, "the owner reported an impossible event"))
+	return r.endWithError(result.New(result.Internal, "the owner reported an impossible event"))
 }
 
-// noEvent returns what follows when an attempt gives no next event.
-func (r *run) noEvent(err error) chart.Event {
+// eventUnavailable returns the transition for an error of nextEvent.
+func (r *execution) eventUnavailable(err error) chart.Event {
 	if errors.Is(err, errInterrupted) {
-		return r.stop(r.interrupted())
+		return r.interrupt(r.interrupted())
 	}
 	return evLose
 }
 
-// takeData passes one piece of the answer on, or keeps it.
-func (r *run) takeData(data []byte) *result.Error {
+// receiveData sends one Data event of a stream to the caller, or buffers it for an answer that is not a
+// stream.
+func (r *execution) receiveData(data []byte) *result.Error {
 	if !r.streams() {
-		return r.keep(data)
+		return r.bufferBody(data)
 	}
 	if used := usageOf(data); used.known {
 		r.answer.used = used
@@ -268,15 +281,16 @@
 	return nil
 }
 
-// streams reports whether the answer goes to the caller piece by piece. An endpoint's error answer
-// to a streamed request is kept and delivered whole.
-func (r *run) streams() bool {
-	return r.call.Endpoint.Stream && r.answer.status < firstNotOK
+// streams reports whether the answer is sent to the caller event by event. An endpoint's error response
+// to a streamed request is buffered and delivered whole.
+func (r *execution) streams() bool {
+	return r.call.Endpoint.Stream && r.answer.status < minNonSuccessStatus
 }
 
-// keep adds data to the answer. A non-idempotent request is followed on without its body once that
-// is too large.
-func (r *run) keep(data []byte) *result.Error {
+// bufferBody appends data to the buffered body. If the body becomes too large it is discarded. An
+// idempotent request then fails; a non-idempotent one continues without its body, so that its record
+// can be completed.
+func (r *execution) bufferBody(data []byte) *result.Error {
 	if r.answer.overflow {
 		return nil
 	}
@@ -284,7 +298,7 @@
 		r.answer.body = append(r.answer.body, data...)
 		return nil
 	}
-	r.dropBody()
+	r.releaseBody()
 	r.answer.overflow = true
 	if !r.call.Idempotent {
 		return nil
@@ -292,7 +306,8 @@
 	return result.New(result.AnswerTooLarge, "the answer is larger than the limit")
 }
 
-func (r *run) dropBody() {
+// releaseBody discards the buffered body and releases its memory.
+func (r *execution) releaseBody() {
 	r.s.cfg.Memory.Give(int64(len(r.answer.body)))
 	r.answer.body = nil
 }
--- a/pkg/request/steps_begin.go
+++ b/pkg/request/steps_begin.go
@@ -13,22 +13,23 @@
 	"github.com/mallowlink/mallowlink/pkg/work"
 )
 
-// target is the owner that an attempt goes to.
+// target is the owner to which an attempt is sent, with the group that it owns.
 type target struct {
 	group string
 	vm    string
 	owner work.Owner
 }
 
-func (r *run) authenticate() chart.Event {
+func (r *execution) authenticate() chart.Event {
 	if e := r.checkAllowed(); e != nil {
-		return r.end(e)
+		return r.endWithError(e)
 	}
 	return evAuthenticate
 }
 
-// checkAllowed checks what can change while the request waits: time, key and suspicion.
-func (r *run) checkAllowed() *result.Error {
+// checkAllowed checks the conditions that can change while the request waits: the deadline, the
+// caller's connection, the key, and whether equal requests have crashed endpoints.
+func (r *execution) checkAllowed() *result.Error {
 	if r.ctx.Err() != nil {
 		return r.interrupted()
 	}
@@ -46,25 +47,27 @@
 	return nil
 }
 
-func (r *run) admit() chart.Event {
+// admit charges the request's tokens to the client account, if it has one.
+func (r *execution) admit() chart.Event {
 	if r.call.Account == "" {
 		return evAdmit
 	}
-	asked := time.Now()
+	began := time.Now()
 	err := r.s.cfg.Quota.Admit(r.ctx, r.call.Account, r.call.Tokens)
 	if err == nil {
 		r.charged = true
-		r.admitted = asked
+		r.admitStarted = began
 		return evAdmit
 	}
 	e := notRunError(err)
 	if r.ctx.Err() != nil && (e.Code != result.OverRate || r.ctx.Err() == context.Canceled) {
-		return r.end(r.interrupted())
+		return r.endWithError(r.interrupted())
 	}
-	return r.end(e)
+	return r.endWithError(e)
 }
 
-// notRunError returns err, which the caller knows to be of outcome not-run, as a *result.Error.
+// notRunError converts err to a *result.Error with the outcome not-run. It must be used only for errors
+// that imply that the request has not run.
 func notRunError(err error) *result.Error {
 	var e *result.Error
 	if !errors.As(err, &e) {
@@ -75,34 +78,35 @@
 	return &final
 }
 
-// writeRecord writes the at-most-once record. It names the owner that the first attempt goes to.
-func (r *run) writeRecord() chart.Event {
+// writeRecord writes the at-most-once record of a non-idempotent request with an Idempotency-Key. The
+// record names the owner of the first attempt, so the owner is looked up here.
+func (r *execution) writeRecord() chart.Event {
 	if r.call.Idempotent || r.call.IdempotencyKey == "" {
 		return evRecord
 	}
 	plan, e := r.awaitTarget()
 	if e != nil {
-		return r.end(e)
+		return r.endWithError(e)
 	}
-	r.plan = plan
+	r.nextTarget = plan
 	key := ledger.Key{Account: r.call.Account, Route: r.call.Route, Name: r.call.IdempotencyKey}
 	handle, recorded, err := r.s.cfg.Ledger.Begin(r.ctx, key, r.call.BodyHash, r.holder(plan))
 	if err != nil {
-		return r.end(resultOf(err, result.StoreDown))
+		return r.endWithError(asResultError(err, result.StoreDown))
 	}
 	if recorded == nil {
 		r.record = handle
 		return evRecord
 	}
 	if recorded.Dropped {
-		return r.end(result.New(result.AnswerTooLarge, "the request has run; its answer was too large to be kept"))
+		return r.endWithError(result.New(result.AnswerTooLarge, "the request has run; its answer was too large to be kept"))
 	}
 	r.replay = recorded
 	return evReplay
 }
 
-// resultOf returns err as a *result.Error, or one with the code.
-func resultOf(err error, code result.Code) *result.Error {
+// asResultError returns the *result.Error in err, or a new one with the code if there is none.
+func asResultError(err error, code result.Code) *result.Error {
 	var e *result.Error
 	if errors.As(err, &e) {
 		return e
@@ -110,20 +114,20 @@
 	return result.New(code, "")
 }
 
-// holder names the next attempt at the target.
-func (r *run) holder(t *target) ledger.Holder {
+// holder returns the record's description of the next attempt, sent to target t.
+func (r *execution) holder(t *target) ledger.Holder {
 	id := work.AttemptID{Request: r.call.ID, Attempt: r.current.id.Attempt + 1}
 	return ledger.Holder{Attempt: id, Group: t.group, Owner: t.vm}
 }
 
-// awaitTarget looks for an owner until there is one or time runs out.
-func (r *run) awaitTarget() (*target, *result.Error) {
+// awaitTarget looks up an owner, with backoff, until there is one or the deadline is too near.
+func (r *execution) awaitTarget() (*target, *result.Error) {
 	for {
 		t, e := r.lookup()
 		if e == nil {
 			return t, nil
 		}
-		if !transient(e.Code) {
+		if !isTransient(e.Code) {
 			return nil, e
 		}
 		if !r.sleep(r.nextBackoff()) {
@@ -132,8 +136,8 @@
 	}
 }
 
-// lookup returns the owner of the group that the next attempt goes to.
-func (r *run) lookup() (*target, *result.Error) {
+// lookup returns the current owner of the group that the next attempt goes to.
+func (r *execution) lookup() (*target, *result.Error) {
 	group := r.call.Groups[r.groupIndex]
 	vm, owner, err := r.s.cfg.Directory.OwnerOf(group)
 	if err != nil {
@@ -142,7 +146,9 @@
 	return &target{group: group, vm: vm, owner: owner}, nil
 }
 
-func (r *run) deliverRecorded() chart.Event {
+// deliverRecorded sends the caller the recorded answer of an earlier request with the same
+// Idempotency-Key.
+func (r *execution) deliverRecorded() chart.Event {
 	header := r.replay.Header.Clone()
 	if header == nil {
 		header = map[string][]string{}
@@ -151,29 +157,31 @@
 	if err := r.sink.Answer(r.replay.Status, header, r.replay.Body); err != nil {
 		e := result.New(result.CallerGone, "the caller closed the connection")
 		e.Outcome = result.Ran
-		return r.end(e)
+		return r.endWithError(e)
 	}
 	return evDone
 }
 
-// HeaderReplayed marks an answer that was recorded earlier for the same Idempotency-Key.
+// HeaderReplayed is the header that marks an answer as recorded earlier for the same Idempotency-Key.
 const HeaderReplayed = "X-Mallowlink-Replayed"
 
-// Pauses between attempts that did not run.
+// Bounds of the delay between attempts.
 const (
 	backoffFirst = 20 * time.Millisecond
 	backoffMax   = time.Second
 )
 
-// nextBackoff returns the pause before the next attempt: doubled each time, with jitter.
-func (r *run) nextBackoff() time.Duration {
-	pause := min(backoffMax, backoffFirst<<min(r.backoffs, 10))
+// nextBackoff returns the delay before the next attempt. It doubles each time, up to backoffMax, and is
+// reduced by up to half at random.
+func (r *execution) nextBackoff() time.Duration {
+	delay := min(backoffMax, backoffFirst<<min(r.backoffs, 10))
 	r.backoffs++
-	return pause/2 + time.Duration(r.jitter()*float64(pause/2))
+	return delay/2 + time.Duration(r.jitter()*float64(delay/2))
 }
 
-// sleep waits, and reports false, at once, if time will run out before.
-func (r *run) sleep(d time.Duration) bool {
+// sleep waits for d. It returns false at once if the deadline is not later than that, or when the
+// context ends.
+func (r *execution) sleep(d time.Duration) bool {
 	deadline, ok := r.ctx.Deadline()
 	if ok && time.Until(deadline) <= d {
 		return false
@@ -188,9 +196,9 @@
 	}
 }
 
-// outOfTime returns the final error of a request that cannot wait for another attempt: why the
-// last one did not run, unless the caller is gone.
-func (r *run) outOfTime(last *result.Error) *result.Error {
+// outOfTime returns the final error of a request that has no time left for another attempt. This is
+// last, the error of the last attempt, unless the caller has disconnected or there was none.
+func (r *execution) outOfTime(last *result.Error) *result.Error {
 	if r.ctx.Err() == context.Canceled {
 		return r.interrupted()
 	}
--- a/pkg/request/steps_end.go
+++ b/pkg/request/steps_end.go
@@ -9,8 +9,8 @@
 	"github.com/mallowlink/mallowlink/pkg/result"
 )
 
-// complete records and delivers the whole answer.
-func (r *run) complete() chart.Event {
+// complete writes the whole answer to the at-most-once record, if there is one, and delivers it.
+func (r *execution) complete() chart.Event {
 	r.mayHaveRun = true
 	if r.isolated {
 		r.s.cfg.Suspects.Cleared(r.call.Fingerprint)
@@ -19,26 +19,26 @@
 		r.answer.used = usageOf(r.answer.body)
 	}
 	if r.record != nil {
-		// A record that cannot be written is logged there; the caller gets its answer all the same.
+		// The ledger logs a failure to write the record; the answer is delivered in any case.
 		_ = r.s.cfg.Ledger.Complete(context.WithoutCancel(r.ctx), r.record, r.recordedAnswer())
 	}
 	if r.detached {
-		r.settleCharge()
+		r.refundUnused()
 		return evDone
 	}
 	if r.answer.overflow {
-		return r.end(result.New(result.AnswerTooLarge, "the answer is larger than the limit"))
+		return r.endWithError(result.New(result.AnswerTooLarge, "the answer is larger than the limit"))
 	}
 	if err := r.deliver(); err != nil {
 		e := result.New(result.CallerGone, "the caller closed the connection")
 		e.Outcome = result.Ran
-		return r.end(e)
+		return r.endWithError(e)
 	}
-	r.settleCharge()
+	r.refundUnused()
 	return evDone
 }
 
-func (r *run) recordedAnswer() ledger.Answer {
+func (r *execution) recordedAnswer() ledger.Answer {
 	return ledger.Answer{
 		Status:  r.answer.status,
 		Header:  r.answer.header,
@@ -47,7 +47,8 @@
 	}
 }
 
-func (r *run) deliver() error {
+// deliver sends a buffered answer to the caller, or ends a stream.
+func (r *execution) deliver() error {
 	if !r.streams() {
 		return r.sink.Answer(r.answer.status, r.answer.header, r.answer.body)
 	}
@@ -59,8 +60,9 @@
 	return r.sink.Finish()
 }
 
-// settleCharge gives back the tokens that the request did not use, once.
-func (r *run) settleCharge() {
+// refundUnused returns the tokens that the request did not use to the client account. Only the first
+// call has an effect.
+func (r *execution) refundUnused() {
 	if !r.charged {
 		return
 	}
@@ -70,16 +72,16 @@
 		return
 	}
 	if returner, ok := r.s.cfg.Quota.(quota.Returner); ok {
-		returner.ReturnSince(r.call.Account, unused, r.admitted)
+		returner.ReturnSince(r.call.Account, unused, r.admitStarted)
 		return
 	}
 	r.s.cfg.Quota.Return(r.call.Account, unused)
 }
 
-// release gives back what a request that was not answered holds. The record stays unless the
-// request is proven not to have run.
-func (r *run) release() chart.Event {
-	r.settleCharge()
+// release returns the tokens of a request that failed, and deletes its record if the request is
+// proven not to have run. Otherwise the record stays, so that the request cannot run twice.
+func (r *execution) release() chart.Event {
+	r.refundUnused()
 	if r.record != nil && !r.possiblyRan() {
 		_ = r.s.cfg.Ledger.Release(context.WithoutCancel(r.ctx), r.record)
 	}
--- a/pkg/request/steps_recover.go
+++ b/pkg/request/steps_recover.go
@@ -14,41 +14,44 @@
 )
 
 const (
-	// withdrawTimeout bounds one call of Owner.Withdraw or Owner.Cancel.
+	// withdrawTimeout is the time limit of one call of Owner.Withdraw or Owner.Cancel.
 	withdrawTimeout = time.Second
-	// recoverWindow is how long a lost owner is asked what became of an attempt.
+	// recoverWindow is how long calls of Owner.Withdraw to an unreachable owner are repeated.
 	recoverWindow = 3 * time.Second
-	// recoverPause is the pause between two such calls.
-	recoverPause = 50 * time.Millisecond
-	// maxLosses bounds the losses of an owner without any event between them.
+	// recoverInterval is the delay between two such calls.
+	recoverInterval = 50 * time.Millisecond
+	// maxLosses is how often contact with an owner may be lost without an event in between.
 	maxLosses = 8
-	// proofAge is the age of an attempt up to which its owner's proof is believed.
-	proofAge = work.RetainEnded / 2
-	// followLimit bounds the time for which a detached request is followed.
+	// maxProofAge is the age of an attempt up to which its owner's report of not-run is accepted. Owners
+	// discard ended attempts after work.RetainEnded and may then report not-run for them. Half of that
+	// leaves a margin.
+	maxProofAge = work.RetainEnded / 2
+	// followLimit is the longest time for which a detached request is followed.
 	followLimit = 30 * time.Minute
-	// followPause is the pause before a lost owner is asked again for a detached request.
-	followPause = 200 * time.Millisecond
-	// budgetRetryAfter is when a caller is told to come back when the retry budget is spent.
+	// followRetryDelay is the delay before an unreachable owner of a detached request is polled again.
+	followRetryDelay = 200 * time.Millisecond
+	// budgetRetryAfter is the Retry-After delay sent to callers while the retry budget is spent.
 	budgetRetryAfter = time.Second
 )
 
-// withdraw asks the attempt's owner to refuse it if it has not started. It reports not-run only if
-// that can be believed.
-func (r *run) withdraw(ctx context.Context) (result.Outcome, error) {
+// withdraw requests that the owner withdraw the attempt if it has not started. It returns not-run only
+// if that is reliable: the attempt is not known to have started and is younger than maxProofAge.
+func (r *execution) withdraw(ctx context.Context) (result.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, withdrawTimeout)
 	defer cancel()
 	outcome, err := r.current.owner.Withdraw(ctx, r.current.id)
 	if err != nil {
 		return result.MayHaveRun, err
 	}
-	if outcome == result.NotRun && (r.current.started || time.Since(r.current.submitted) > proofAge) {
+	if outcome == result.NotRun && (r.current.started || time.Since(r.current.submitted) > maxProofAge) {
 		return result.MayHaveRun, nil
 	}
 	return outcome, nil
 }
 
-// recoverOwner finds out what became of an attempt whose owner gave no answer.
-func (r *run) recoverOwner() chart.Event {
+// recoverOwner determines the state of an attempt whose owner did not respond, by withdrawing it. If
+// the attempt has started, it is continued.
+func (r *execution) recoverOwner() chart.Event {
 	r.s.metrics.ownerLost.Inc(1)
 	r.current.losses++
 	if r.current.losses > maxLosses {
@@ -59,21 +62,22 @@
 		outcome, err := r.withdraw(context.WithoutCancel(r.ctx))
 		switch {
 		case err == nil && outcome == result.NotRun:
-			return r.didNotRun(result.New(result.OwnerLost, "the owner was lost before the request started"))
+			return r.attemptNotRun(result.New(result.OwnerLost, "the owner was lost before the request started"))
 		case err == nil:
 			return r.reattach()
 		case errors.Is(err, peer.ErrRefused) || time.Now().After(until):
 			return r.ownerGone()
-		case !r.sleep(recoverPause):
+		case !r.sleep(recoverInterval):
 			r.mayHaveRun = true
-			return r.end(r.interrupted())
+			return r.endWithError(r.interrupted())
 		}
 	}
 }
 
-// reattach goes back to where the attempt stands, after a pause that grows with the losses.
-func (r *run) reattach() chart.Event {
-	r.sleep(recoverPause * time.Duration(r.current.losses))
+// reattach returns to the state that the attempt had reached, after a delay that grows with the number
+// of losses.
+func (r *execution) reattach() chart.Event {
+	r.sleep(recoverInterval * time.Duration(r.current.losses))
 	switch {
 	case r.current.headSeen:
 		return evHead
@@ -83,9 +87,10 @@
 	return evAccept
 }
 
-// ownerGone gives up on the owner: nobody can prove any more what became of the attempt.
-func (r *run) ownerGone() chart.Event {
-	r.log.WithField("event", "owner_lost").WithField("vm", r.current.vm).Warn("owner does not answer")
+// ownerGone handles an owner that cannot be reached any more. The outcome of the attempt is then
+// unknown, because only the owner could prove that it has not run.
+func (r *execution) ownerGone() chart.Event {
+	r.log.WithField("event", "owner_lost").WithField("vm", r.current.vm).Warn("owner of the attempt does not respond; its outcome is unknown")
 	return r.attemptFailed(&work.Failure{
 		Code:    result.OwnerLost,
 		Outcome: result.MayHaveRun,
@@ -93,8 +98,8 @@
 	})
 }
 
-// didNotRun follows an attempt that is proven not to have run.
-func (r *run) didNotRun(e *result.Error) chart.Event {
+// attemptNotRun handles the failure of an attempt that is proven not to have run.
+func (r *execution) attemptNotRun(e *result.Error) chart.Event {
 	return r.attemptFailed(&work.Failure{
 		Code:       e.Code,
 		Outcome:    result.NotRun,
@@ -103,59 +108,61 @@
 	})
 }
 
-// attemptFailed acts on the failure of an attempt.
-func (r *run) attemptFailed(f *work.Failure) chart.Event {
+// attemptFailed chooses and begins the action that follows the failure of an attempt.
+func (r *execution) attemptFailed(f *work.Failure) chart.Event {
 	if f == nil {
-		return r.outOfOrder()
+		return r.unexpectedEvent()
 	}
-	r.noteCrash(f)
+	r.reportCrash(f)
 	proven := f.Outcome == result.NotRun && !r.current.headSeen
-	s := r.situation()
+	s := r.failureContext()
 	if !proven {
 		r.mayHaveRun = true
 	}
-	// What an owner took with it may not have run: only what endpoints fail counts against the budget.
-	costs := r.current.started || !proven && f.Code != result.OwnerLost
+	// An attempt lost with its owner before it was known to start may not have run. The retry budget
+	// counts only attempts that started, or that failed at an endpoint.
+	usesBudget := r.current.started || !proven && f.Code != result.OwnerLost
 	r.current.started = false
-	verdict := decide(s, f)
-	if verdict == deliver && proven && r.advanceGroup(f.Code) {
-		verdict = again
+	next := decide(s, f)
+	if next == actionFail && proven && r.advanceGroup(f.Code) {
+		next = actionRetry
 	}
-	switch verdict {
-	case again:
+	switch next {
+	case actionRetry:
 		r.s.metrics.notRunRetries.Inc(1)
-		r.transient = failureError(f)
+		r.lastError = failureError(f)
 		return evNotRun
-	case resume:
+	case actionResume:
 		return r.resumeStream()
-	case rerun:
-		return r.rerun(f, costs)
-	case cut:
+	case actionRerun:
+		return r.rerun(f, usesBudget)
+	case actionCut:
 		e := failureError(f)
 		e.Code = result.AnswerCut
 		e.Outcome = result.MayHaveRun
-		return r.end(e)
+		return r.endWithError(e)
 	}
-	return r.end(failureError(f))
+	return r.endWithError(failureError(f))
 }
 
-func (r *run) situation() situation {
-	s := situation{
-		idempotent: r.call.Idempotent,
-		stream:     r.call.Endpoint.Stream,
-		headSeen:   r.current.headSeen,
-		delivered:  r.answer.events,
-		engineID:   r.current.engineID,
-		futile:     r.current.resumed && !r.current.headSeen,
+func (r *execution) failureContext() failureContext {
+	s := failureContext{
+		idempotent:   r.call.Idempotent,
+		stream:       r.call.Endpoint.Stream,
+		headSeen:     r.current.headSeen,
+		delivered:    r.answer.events,
+		engineID:     r.current.engineID,
+		resumeFailed: r.current.resumed && !r.current.headSeen,
 	}
-	if s.engineID == "" && r.resume != nil && !s.futile {
+	if s.engineID == "" && r.resume != nil && !s.resumeFailed {
 		s.engineID = r.resume.EngineID
 	}
 	return s
 }
 
-// noteCrash holds the crash of an endpoint against the request.
-func (r *run) noteCrash(f *work.Failure) {
+// reportCrash reports the crash of an endpoint, if f is one, to the suspect guard under the request's
+// fingerprint, and excludes the endpoint from further attempts.
+func (r *execution) reportCrash(f *work.Failure) {
 	if !f.Crashed {
 		return
 	}
@@ -173,9 +180,10 @@
 	}
 }
 
-// advanceGroup turns to the next group if the failure is for want of capacity in this one. A
-// suspect stays with its first group, whose owner counts its copies.
-func (r *run) advanceGroup(code result.Code) bool {
+// advanceGroup selects the next group if the attempt failed because the current one lacks capacity. An
+// isolated request stays with its first group, because the owner of that group counts the copies of
+// the request.
+func (r *execution) advanceGroup(code result.Code) bool {
 	if code != result.NoEndpoint && code != result.QueueFull {
 		return false
 	}
@@ -186,8 +194,8 @@
 	return true
 }
 
-// resumeStream continues the stream at the engine that runs it.
-func (r *run) resumeStream() chart.Event {
+// resumeStream prepares an attempt that continues the stream at the engine that runs it.
+func (r *execution) resumeStream() chart.Event {
 	r.s.metrics.resumes.Inc(1)
 	if r.current.engineID != "" {
 		r.resume = &work.Resume{Endpoint: r.current.endpoint, EngineID: r.current.engineID}
@@ -198,26 +206,27 @@
 	return evRetry
 }
 
-// rerun runs an idempotent request once more. costs says that this takes from the retry budget.
-func (r *run) rerun(f *work.Failure, costs bool) chart.Event {
+// rerun prepares another run of an idempotent request. usesBudget says whether it counts against the
+// retry budget.
+func (r *execution) rerun(f *work.Failure, usesBudget bool) chart.Event {
 	r.resume = nil
 	if f.Crashed && r.refusedAsSuspect() {
 		e := result.New(result.Suspect, "equal requests crashed endpoints")
 		e.RetryAfter = suspect.DefaultMemory
-		return r.end(e)
+		return r.endWithError(e)
 	}
-	if costs && !r.s.cfg.Retries.Withdraw() {
+	if usesBudget && !r.s.cfg.Retries.Withdraw() {
 		r.s.metrics.budgetSpent.Inc(1)
 		e := result.New(result.RetryBudget, "too many requests are being run again")
 		e.RetryAfter = budgetRetryAfter
-		return r.end(e)
+		return r.endWithError(e)
 	}
 	r.s.metrics.reruns.Inc(1)
-	r.transient = failureError(f)
+	r.lastError = failureError(f)
 	return evRetry
 }
 
-func (r *run) refusedAsSuspect() bool {
+func (r *execution) refusedAsSuspect() bool {
 	decision, _ := r.s.cfg.Suspects.Admit(r.call.Fingerprint)
 	return decision == suspect.Refuse
 }
@@ -226,39 +235,43 @@
 	return &result.Error{Code: f.Code, Outcome: f.Outcome, Detail: f.Detail, RetryAfter: f.RetryAfter}
 }
 
-// pause waits before the next attempt. The first resumption is made at once.
-func (r *run) pause() chart.Event {
+// awaitBackoff waits before the next attempt. A resumption is made at once if it is the first repeated
+// attempt.
+func (r *execution) awaitBackoff() chart.Event {
 	if r.resume != nil && r.backoffs == 0 {
 		r.backoffs++
 		return evRetry
 	}
 	if !r.sleep(r.nextBackoff()) {
-		return r.end(r.outOfTime(r.transient))
+		return r.endWithError(r.outOfTime(r.lastError))
 	}
 	return evRetry
 }
 
-// withdrawnInTime reports whether the attempt is proven not to have started and never to start.
-func (r *run) withdrawnInTime() bool {
+// withdrawnInTime withdraws the attempt, and reports whether it is proven not to have started and will
+// never start.
+func (r *execution) withdrawnInTime() bool {
 	outcome, err := r.withdraw(context.WithoutCancel(r.ctx))
 	return err == nil && outcome == result.NotRun
 }
 
-// stop ends the request for the reason e, which is of outcome not-run if the attempt is withdrawn
-// in time. A non-idempotent attempt that may be running is followed on for its record.
-func (r *run) stop(e *result.Error) chart.Event {
+// interrupt ends the request with the error e because its caller disconnected or its deadline passed.
+// The outcome is not-run if the attempt can be withdrawn before it starts. Otherwise the attempt is
+// abandoned.
+func (r *execution) interrupt(e *result.Error) chart.Event {
 	if !r.current.started && r.withdrawnInTime() {
-		return r.end(e)
+		return r.endWithError(e)
 	}
 	e.Outcome = result.MayHaveRun
-	return r.giveUp(e)
+	return r.abandonAttempt(e)
 }
 
-// giveUp ends a request whose attempt may be running.
-func (r *run) giveUp(e *result.Error) chart.Event {
+// abandonAttempt ends, with the error e, a request whose attempt may be running. A non-idempotent
+// attempt is followed to its end to complete the at-most-once record; an idempotent one is cancelled.
+func (r *execution) abandonAttempt(e *result.Error) chart.Event {
 	r.mayHaveRun = true
 	if !r.call.Idempotent {
-		r.fail(e)
+		r.setFailure(e)
 		r.detached = true
 		r.ctx = context.WithoutCancel(r.ctx)
 		return evDetach
@@ -268,14 +281,14 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, withdrawTimeout)
 		defer cancel()
-		// A lost cancel costs the engine's time only.
+		// If the cancellation is lost, the engine only does unneeded work.
 		_ = owner.Cancel(ctx, id)
 	}()
-	return r.end(e)
+	return r.endWithError(e)
 }
 
-// follow takes a detached request to its end.
-func (r *run) follow() chart.Event {
+// followDetached receives the rest of a detached request's answer, for at most followLimit.
+func (r *execution) followDetached() chart.Event {
 	ctx, cancel := context.WithTimeout(r.ctx, followLimit)
 	defer cancel()
 	r.ctx = ctx
@@ -285,19 +298,19 @@
 		case errors.Is(err, errInterrupted):
 			return evSettle
 		case err != nil:
-			if !r.sleep(followPause) {
+			if !r.sleep(followRetryDelay) {
 				return evSettle
 			}
 		case event.Kind == work.Head:
 			r.answer.status = event.Status
 			r.answer.header = event.Header
 		case event.Kind == work.Data:
-			r.keep(event.Data)
+			r.bufferBody(event.Data)
 		case event.Kind == work.End:
 			return evEnd
 		case event.Kind == work.Failed:
 			if event.Failure != nil {
-				r.noteCrash(event.Failure)
+				r.reportCrash(event.Failure)
 			}
 			return evSettle
 		}
--- a/pkg/request/usage.go
+++ b/pkg/request/usage.go
@@ -5,17 +5,18 @@
 	"encoding/json"
 )
 
-// usage is what an engine says that a request has cost.
+// usage is the number of tokens that an engine reports for a request.
 type usage struct {
 	total int64
 	known bool
 }
 
-var usageMark = []byte(`"usage"`)
+var usageFieldName = []byte(`"usage"`)
 
-// usageOf reads the usage from an answer or from one event of a stream. Most events have none.
+// usageOf reads the usage from a whole answer or from one event of a stream. Most events contain none,
+// so it looks for the field name before it parses the JSON.
 func usageOf(data []byte) usage {
-	if !bytes.Contains(data, usageMark) {
+	if !bytes.Contains(data, usageFieldName) {
 		return usage{}
 	}
 	var body struct {
@@ -29,8 +30,10 @@
 	return usage{total: body.Usage.Total, known: true}
 }
 
-// unused returns the tokens of the charge that the request did not use.
-func (r *run) unused() int64 {
+// unused returns the number of charged tokens to return. This is the whole charge if the request has not
+// run, and nothing if it went to a plain service. For a stream without reported usage, each event sent
+// to the caller counts as one token; another answer without reported usage keeps its whole charge.
+func (r *execution) unused() int64 {
 	if !r.possiblyRan() {
 		return r.call.Tokens
 	}
