--- a/pkg/allowance/fallback.go
+++ b/pkg/allowance/fallback.go
@@ -71,7 +71,7 @@
 
 // serveFromFallback admits or refuses all waiters without the home of the account: first from the balance, then
 // from the fallback. The caller must hold b.mu.
-func (l *Holder) serveFromFallback(account string, b *balance, now time.Time) {
+func (l *Limiter) serveFromFallback(account string, b *balance, now time.Time) {
 	b.admitWaiters(now)
 	limit, known := l.cfg.Limits(account)
 	vms := len(l.cfg.Fleet.Members())
--- a/pkg/allowance/handover_test.go
+++ b/pkg/allowance/handover_test.go
@@ -40,7 +40,7 @@
 	log, _ := test.NewNullLogger()
 	home := NewHome(t.Context(), HomeConfig{Policy: testPolicy, Log: log})
 	b := &otherVM{}
-	h := NewHolder(t.Context(), HolderConfig{
+	h := NewLimiter(t.Context(), LimiterConfig{
 		Self: "a", Policy: testPolicy, Limits: func(string) (Limit, bool) { return testLimit, true },
 		Home: home, Lessor: noLeasesHeld{}, Fleet: b, Caller: b, Log: log,
 	})
@@ -122,7 +122,7 @@
 	log, _ := test.NewNullLogger()
 	b := &delayedHome{called: make(chan struct{}), reply: make(chan Reply)}
 	home := NewHome(t.Context(), HomeConfig{Policy: testPolicy, Log: log})
-	h := NewHolder(t.Context(), HolderConfig{
+	h := NewLimiter(t.Context(), LimiterConfig{
 		Self: "a", Policy: testPolicy, Limits: func(string) (Limit, bool) { return testLimit, true },
 		Home: home, Lessor: b, Fleet: b, Caller: b, Log: log,
 	})
@@ -454,7 +454,7 @@
 			Policy: testPolicy, Limits: func(string) (Limit, bool) { return testLimit, true },
 			Lessor: allLeasesHeld{}, Fleet: b, Caller: b, Log: log,
 		})
-		NewHolder(ctx, HolderConfig{
+		NewLimiter(ctx, LimiterConfig{
 			Self: "a", Incarnation: "1", Policy: testPolicy, Home: home, Lessor: allLeasesHeld{}, Fleet: b, Log: log,
 			Started: time.Now(), FirstStart: true,
 		})
--- a/pkg/allowance/home.go
+++ b/pkg/allowance/home.go
@@ -41,9 +41,9 @@
 type HomeConfig struct {
 	Policy Policy
 	Limits Limits
-	Lessor lease.Lessor
+	Lessor lease.View
 	Fleet  Fleet
-	Caller peer.Caller
+	Caller peer.Client
 	Log    logrus.FieldLogger
 }
 
@@ -55,7 +55,7 @@
 type Home struct {
 	cfg   HomeConfig
 	ctx   context.Context
-	local *Holder // the counterpart on this VM, set when that is created
+	local *Limiter // the counterpart on this VM, set when that is created
 
 	mu       sync.Mutex
 	accounts map[string]*account // by name, guarded by mu
@@ -179,7 +179,7 @@
 	absent, scarce := 0, a.scarce(now)
 	clear(a.unresponsive)
 	for _, m := range members {
-		unresponsive := !m.Gone && m.Silent > unresponsiveAfter && m.ID != h.local.cfg.Self
+		unresponsive := !m.Gone && m.SilentFor > unresponsiveAfter && m.ID != h.local.cfg.Self
 		switch {
 		case m.Gone && m.GoneFor > h.cfg.Policy.Window:
 		case unresponsive:
@@ -265,11 +265,11 @@
 // Service serves the net/rpc calls of other VMs.
 type Service struct {
 	home    *Home
-	limiter *Holder
+	limiter *Limiter
 }
 
 // NewService returns the service to register with net/rpc under ServiceName.
-func NewService(home *Home, limiter *Holder) *Service { return &Service{home: home, limiter: limiter} }
+func NewService(home *Home, limiter *Limiter) *Service { return &Service{home: home, limiter: limiter} }
 
 // Tell reports to the home of an account what this VM has spent and holds.
 func (s *Service) Tell(args *TellArgs, reply *Request) error {
--- a/pkg/allowance/home_test.go
+++ b/pkg/allowance/home_test.go
@@ -42,7 +42,7 @@
 func (n *otherVM) Members() []membership.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return []membership.Member{{ID: "a"}, {ID: "b", Incarnation: "b1", PeerAddress: "b:1", Silent: n.silent}}
+	return []membership.Member{{ID: "a"}, {ID: "b", Incarnation: "b1", PeerAddress: "b:1", SilentFor: n.silent}}
 }
 
 func (n *otherVM) Call(_ context.Context, _, _ string, _, reply any) error {
@@ -62,7 +62,7 @@
 		Policy: testPolicy, Limits: func(string) (Limit, bool) { return testLimit, true },
 		Lessor: allLeasesHeld{}, Fleet: b, Caller: b, Log: log,
 	})
-	NewHolder(ctx, HolderConfig{Self: "a", Incarnation: "1", Policy: testPolicy, Home: home, Lessor: allLeasesHeld{}, Fleet: b, Log: log})
+	NewLimiter(ctx, LimiterConfig{Self: "a", Incarnation: "1", Policy: testPolicy, Home: home, Lessor: allLeasesHeld{}, Fleet: b, Log: log})
 	return home
 }
 
--- a/pkg/allowance/limiter.go
+++ b/pkg/allowance/limiter.go
@@ -33,8 +33,8 @@
 	demandHalfLife = time.Second
 )
 
-// HolderConfig holds the settings and dependencies for NewHolder.
-type HolderConfig struct {
+// LimiterConfig holds the settings and dependencies for NewLimiter.
+type LimiterConfig struct {
 	// Self is the ID of this VM, Incarnation that of this process on it.
 	Self        string
 	Incarnation string
@@ -45,33 +45,33 @@
 	Policy     Policy
 	Limits     Limits
 	Home       *Home // of this VM
-	Lessor     lease.Lessor
+	Lessor     lease.View
 	Fleet      Fleet
-	Caller     peer.Caller
+	Caller     peer.Client
 	Log        logrus.FieldLogger
 }
 
-// Holder enforces the limits on one VM: it admits requests by spending the tokens that the homes of their accounts
+// Limiter enforces the limits on one VM: it admits requests by spending the tokens that the homes of their accounts
 // have lent to this VM. It is safe for concurrent use.
-type Holder struct {
-	cfg HolderConfig
+type Limiter struct {
+	cfg LimiterConfig
 	ctx context.Context
 
 	mu       sync.Mutex
 	balances map[string]*balance // by account, guarded by mu
 }
 
-// NewHolder returns an instance without tokens and registers it with cfg.Home. Cancelling ctx ends its requests to
+// NewLimiter returns an instance without tokens and registers it with cfg.Home. Cancelling ctx ends its requests to
 // homes.
-func NewHolder(ctx context.Context, cfg HolderConfig) *Holder {
-	l := &Holder{cfg: cfg, ctx: ctx, balances: map[string]*balance{}}
+func NewLimiter(ctx context.Context, cfg LimiterConfig) *Limiter {
+	l := &Limiter{cfg: cfg, ctx: ctx, balances: map[string]*balance{}}
 	cfg.Home.local = l
 	return l
 }
 
 // Usage returns the report of what this VM has spent and holds of an account. Tokens of a reply that is still under
 // way are not in it, so they are dropped when the reply arrives.
-func (l *Holder) Usage(account string) Request {
+func (l *Limiter) Usage(account string) Request {
 	b := l.balance(account)
 	now := time.Now()
 	b.mu.Lock()
@@ -100,7 +100,7 @@
 }
 
 // State returns the state of every account that has been used on this VM, sorted by name.
-func (l *Holder) State() []AccountState {
+func (l *Limiter) State() []AccountState {
 	l.mu.Lock()
 	balances := maps.Clone(l.balances)
 	l.mu.Unlock()
@@ -120,7 +120,7 @@
 }
 
 // covers returns the time up to now for which this process knows what the VM has spent.
-func (l *Holder) covers(now time.Time) time.Duration {
+func (l *Limiter) covers(now time.Time) time.Duration {
 	window := l.cfg.Policy.Window + binWidth
 	if l.cfg.FirstStart {
 		return window
@@ -172,12 +172,12 @@
 	Tokens  int64
 	// At is when the tokens were spent.
 	At time.Time
-	// Excess reports that the account is over its limit, within what is tolerated.
-	Excess bool
+	// OverLimit reports that the account is over its limit, within what is tolerated.
+	OverLimit bool
 }
 
 // balance returns the balance of an account, and creates it on first use.
-func (l *Holder) balance(account string) *balance {
+func (l *Limiter) balance(account string) *balance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.balances[account]
@@ -190,7 +190,7 @@
 
 // Admit spends tokens of the account for a request, and waits for the home to lend more if there are too few. Any
 // error is a *result.Error of outcome not-run.
-func (l *Holder) Admit(ctx context.Context, account string, tokens int64) (Charge, error) {
+func (l *Limiter) Admit(ctx context.Context, account string, tokens int64) (Charge, error) {
 	b := l.balance(account)
 	now := time.Now()
 	b.mu.Lock()
@@ -203,7 +203,7 @@
 		if low {
 			l.requestTokens(account, b, now)
 		}
-		return Charge{Account: account, Tokens: tokens, At: now, Excess: overLimit}, nil
+		return Charge{Account: account, Tokens: tokens, At: now, OverLimit: overLimit}, nil
 	}
 	w := &waiter{tokens: tokens, done: make(chan admitResult, 1)}
 	b.waiters = append(b.waiters, w)
@@ -241,7 +241,7 @@
 
 // Return gives back the tokens of a request that has not run. They are not added to the balance, because the home
 // still counts them as spent; it lends them again once a report shows that they were not.
-func (l *Holder) Return(c Charge) {
+func (l *Limiter) Return(c Charge) {
 	b := l.balance(c.Account)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -278,7 +278,7 @@
 
 // requestTokens requests tokens from the home of the account, unless a request is in flight. If a request failed
 // less than homeRetryDelay ago, the waiters are served from the fallback instead.
-func (l *Holder) requestTokens(account string, b *balance, now time.Time) {
+func (l *Limiter) requestTokens(account string, b *balance, now time.Time) {
 	b.mu.Lock()
 	if b.requesting {
 		b.mu.Unlock()
@@ -295,7 +295,7 @@
 }
 
 // requestLoop sends requests to the home of the account until no waiter is left or l.ctx has ended.
-func (l *Holder) requestLoop(account string, b *balance) {
+func (l *Limiter) requestLoop(account string, b *balance) {
 	for {
 		sent := clock.Now()
 		b.mu.Lock()
@@ -330,7 +330,7 @@
 }
 
 // logHomeChange logs when the home of the account becomes unreachable or reachable again. The caller must hold b.mu.
-func (l *Holder) logHomeChange(account string, b *balance, err error) {
+func (l *Limiter) logHomeChange(account string, b *balance, err error) {
 	if lost := err != nil; lost == b.homeUnreachable {
 		return
 	}
@@ -387,7 +387,7 @@
 func (b *balance) admitWaiters(now time.Time) {
 	for len(b.waiters) > 0 && b.tokens >= b.waiters[0].tokens {
 		b.spend(b.waiters[0].tokens, now)
-		b.resolveFirst(admitResult{charge: Charge{Tokens: b.waiters[0].tokens, At: now, Excess: b.overLimit}})
+		b.resolveFirst(admitResult{charge: Charge{Tokens: b.waiters[0].tokens, At: now, OverLimit: b.overLimit}})
 	}
 }
 
@@ -411,7 +411,7 @@
 )
 
 // callHome sends the request to the home of the account, which may be this VM.
-func (l *Holder) callHome(req Request) (Reply, error) {
+func (l *Limiter) callHome(req Request) (Reply, error) {
 	holder, ok := l.cfg.Lessor.HolderOf(lease.AccountPrefix + req.Account)
 	if !ok {
 		return Reply{}, errNoHome
--- a/pkg/budget/holder.go
+++ b/pkg/budget/holder.go
@@ -16,8 +16,8 @@
 	ctx       context.Context
 	cfg       Config
 	home      *Home
-	lessor    lease.Lessor
-	caller    peer.Caller
+	lessor    lease.View
+	caller    peer.Client
 	onPermits func()
 	wake      chan struct{}
 	startedAt time.Time
@@ -42,7 +42,7 @@
 
 // NewHolder returns a Holder without permits and registers it with this VM's home. onPermits is called,
 // without locks held, when permits have arrived after TryTake had found none.
-func NewHolder(ctx context.Context, cfg Config, home *Home, lessor lease.Lessor, caller peer.Caller, onPermits func()) *Holder {
+func NewHolder(ctx context.Context, cfg Config, home *Home, lessor lease.View, caller peer.Client, onPermits func()) *Holder {
 	cfg.setDefaults()
 	h := &Holder{
 		ctx: ctx, cfg: cfg, home: home, lessor: lessor, caller: caller, onPermits: onPermits,
--- a/pkg/budget/home.go
+++ b/pkg/budget/home.go
@@ -43,9 +43,9 @@
 type Home struct {
 	ctx    context.Context
 	cfg    Config
-	lessor lease.Lessor
+	lessor lease.View
 	fleet  Fleet
-	caller peer.Caller
+	caller peer.Client
 	limits Limits
 	// local is the Holder of this VM, set by NewHolder.
 	local *Holder
@@ -59,7 +59,7 @@
 }
 
 // NewHome returns a Home that holds no lease. Its calls to other VMs end with ctx.
-func NewHome(ctx context.Context, cfg Config, lessor lease.Lessor, fleet Fleet, caller peer.Caller, limits Limits) *Home {
+func NewHome(ctx context.Context, cfg Config, lessor lease.View, fleet Fleet, caller peer.Client, limits Limits) *Home {
 	cfg.setDefaults()
 	return &Home{ctx: ctx, cfg: cfg, lessor: lessor, fleet: fleet, caller: caller, limits: limits}
 }
@@ -73,7 +73,7 @@
 	}
 	limit, _ := h.limits()
 	now := time.Now()
-	if grant.First {
+	if grant.NeverHeldBefore {
 		h.startFirst(grant, limit, now)
 		return
 	}
@@ -151,7 +151,7 @@
 	if h.fencing != request.Fencing || outOfRange(reply.Idle) || outOfRange(reply.Running) {
 		return
 	}
-	h.bucket.Reported(vm, reply.Incarnation, reply.Idle, now, now.Add(permitLifetime+permitMargin))
+	h.bucket.RecordHeld(vm, reply.Incarnation, reply.Idle, now, now.Add(permitLifetime+permitMargin))
 	h.slots.applyUsage(vm, reply, h.expiry(now))
 }
 
--- a/pkg/bundle/parse.go
+++ b/pkg/bundle/parse.go
@@ -160,7 +160,7 @@
 }
 
 func (p *parser) section(s *inifile.Section) {
-	kind, name := s.Kind()
+	kind, name := s.SplitName()
 	read := readers[kind]
 	if read == nil {
 		s.Fail("", "unknown section")
@@ -182,7 +182,7 @@
 	}
 	p.where[at] = s
 	read(p, s, name)
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 // reportTwice reports a section of two files; the INI reader reports the ones within a file.
--- a/pkg/bundle/rollout/follower.go
+++ b/pkg/bundle/rollout/follower.go
@@ -36,7 +36,7 @@
 // Config is what a Follower needs. Log, Registry and Poll may be left out.
 type Config struct {
 	Store    Store
-	Peers    peer.Caller
+	Peers    peer.Client
 	View     membership.View
 	Trust    bundle.Trust
 	Poll     time.Duration
--- a/pkg/bundle/sections.go
+++ b/pkg/bundle/sections.go
@@ -71,7 +71,7 @@
 	s.Required("kind")
 	group := Group{
 		Name:       name,
-		Kind:       GroupKind(s.Word("kind", string(KindEngine), string(KindEngine), string(KindService))),
+		Kind:       GroupKind(s.Enum("kind", string(KindEngine), string(KindEngine), string(KindService))),
 		Model:      s.String("model", ""),
 		QueueLimit: int(s.Int("queue-limit", DefaultQueueLimit, 1, maxCount)),
 	}
@@ -137,13 +137,13 @@
 	methods := []string{http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete}
 	p.bundle.Routes[name] = Route{
 		Name:       name,
-		Method:     p.intern(s.Word("method", http.MethodGet, methods...)),
+		Method:     p.intern(s.Enum("method", http.MethodGet, methods...)),
 		Path:       s.Required("path"),
 		Group:      p.intern(s.Required("group")),
 		Open:       s.Bool("open", false),
 		Accounts:   p.set(s, "accounts"),
 		Idempotent: s.Bool("idempotent", false),
-		Class:      Class(s.Word("class", string(Interactive), string(Interactive), string(Batch))),
+		Class:      Class(s.Enum("class", string(Interactive), string(Interactive), string(Batch))),
 		Cost:       s.Int("cost", DefaultCost, 0, maxCount),
 		Timeout:    s.Duration("timeout", DefaultTimeout, time.Millisecond, maxTimeout),
 	}
--- a/pkg/callers/limit.go
+++ b/pkg/connlimit/limit.go
@@ -1,7 +1,7 @@
-// Package callers limits the resources that connections from callers (the programs that send requests to the
+// Package connlimit limits the resources that connections from callers (the programs that send requests to the
 // gateway) can hold on a VM: the number of open connections, and the time for which a connection may stay open
 // without a request.
-package callers
+package connlimit
 
 import (
 	"net"
@@ -17,9 +17,9 @@
 	MetricConnectionsRefused = "entry.connections_refused"
 )
 
-// Limit returns a listener that accepts connections from l and closes those over max open connections at once,
+// LimitListener returns a listener that accepts connections from l and closes those over max open connections at once,
 // so that the load balancer tries another VM.
-func Limit(l net.Listener, max int, registry metrics.Registry) net.Listener {
+func LimitListener(l net.Listener, max int, registry metrics.Registry) net.Listener {
 	return &limitListener{
 		Listener: l,
 		max:      int64(max),
--- a/pkg/callers/timeouts.go
+++ b/pkg/connlimit/timeouts.go
@@ -1,4 +1,4 @@
-package callers
+package connlimit
 
 import (
 	"net"
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Patience holds the timeouts of callers' connections. They may change while connections are open.
-type Patience struct {
+// Timeouts holds the timeouts of callers' connections. They may change while connections are open.
+type Timeouts struct {
 	// Header limits the time in which the whole header of a request must arrive, Idle the time between two
 	// requests on a connection.
 	Header, Idle time.Duration
 }
 
-// Watch enforces header and idle timeouts on the connections of one HTTP server, because the server's
+// TimeoutEnforcer enforces header and idle timeouts on the connections of one HTTP server, because the server's
 // own timeouts cannot change while it runs.
-type Watch struct {
+type TimeoutEnforcer struct {
 	mu sync.Mutex
 	// conns holds the connections that no request is being served on. It is guarded by mu.
 	conns map[net.Conn]waitingConn
@@ -31,16 +31,16 @@
 	isNew bool
 }
 
-// NewWatch tracks the connections of the server from its start on. It sets the server's ConnState
+// NewTimeoutEnforcer tracks the connections of the server from its start on. It sets the server's ConnState
 // hook and must be called before the server starts.
-func NewWatch(s *http.Server) *Watch {
-	w := &Watch{conns: map[net.Conn]waitingConn{}}
+func NewTimeoutEnforcer(s *http.Server) *TimeoutEnforcer {
+	w := &TimeoutEnforcer{conns: map[net.Conn]waitingConn{}}
 	s.ConnState = w.recordState
 	return w
 }
 
 // recordState adds the connection to the waiting ones or removes it from them. It is the server's ConnState hook.
-func (w *Watch) recordState(c net.Conn, state http.ConnState) {
+func (w *TimeoutEnforcer) recordState(c net.Conn, state http.ConnState) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch state {
@@ -51,10 +51,10 @@
 	}
 }
 
-// Sweep closes the connections that have exceeded their timeout. A new connection is closed after
+// CloseExpired closes the connections that have exceeded their timeout. A new connection is closed after
 // p.Header; one that has carried a request after p.Idle and p.Header together, because the header of its
 // next request may have begun to arrive at the end of the idle time.
-func (w *Watch) Sweep(p Patience, now time.Time) {
+func (w *TimeoutEnforcer) CloseExpired(p Timeouts, now time.Time) {
 	w.mu.Lock()
 	var expired []net.Conn
 	for c, wait := range w.conns {
--- a/pkg/callers/timeouts_test.go
+++ b/pkg/connlimit/timeouts_test.go
@@ -1,4 +1,4 @@
-package callers
+package connlimit
 
 import (
 	"bufio"
@@ -13,11 +13,11 @@
 )
 
 // startServer starts a server whose connections are tracked for timeouts, and returns its address.
-func startServer(t *testing.T) (*Watch, string) {
+func startServer(t *testing.T) (*TimeoutEnforcer, string) {
 	t.Helper()
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
-	watch := NewWatch(server.Config)
-	// Start wraps the ConnState hook that NewWatch has set, so NewWatch comes before it.
+	watch := NewTimeoutEnforcer(server.Config)
+	// Start wraps the ConnState hook that NewTimeoutEnforcer has set, so NewTimeoutEnforcer comes before it.
 	server.Start()
 	t.Cleanup(server.Close)
 	return watch, server.Listener.Addr().String()
@@ -44,7 +44,7 @@
 }
 
 // countWaiting returns the number of waiting connections that are new, or of those that are not.
-func (w *Watch) countWaiting(isNew bool) int {
+func (w *TimeoutEnforcer) countWaiting(isNew bool) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -78,16 +78,16 @@
 	require.NoError(t, err)
 	sendRequest(t, idle)
 	require.Eventually(t, func() bool { return watch.countWaiting(true) == 1 && watch.countWaiting(false) == 1 }, 5*time.Second, time.Millisecond)
-	timeouts := Patience{Header: 2 * time.Second, Idle: 10 * time.Second}
+	timeouts := Timeouts{Header: 2 * time.Second, Idle: 10 * time.Second}
 	now := time.Now()
-	watch.Sweep(timeouts, now.Add(time.Second))
+	watch.CloseExpired(timeouts, now.Add(time.Second))
 	sendRequest(t, idle)
 	require.Equal(t, 1, watch.countWaiting(true))
-	watch.Sweep(timeouts, now.Add(3*time.Second))
+	watch.CloseExpired(timeouts, now.Add(3*time.Second))
 	requireClosed(t, slow)
 	sendRequest(t, idle)
 	require.Eventually(t, func() bool { return watch.countWaiting(false) == 1 }, 5*time.Second, time.Millisecond)
-	watch.Sweep(timeouts, time.Now().Add(13*time.Second))
+	watch.CloseExpired(timeouts, time.Now().Add(13*time.Second))
 	requireClosed(t, idle)
 }
 
@@ -98,7 +98,7 @@
 		<-release
 		_, _ = io.WriteString(w, "ok")
 	}))
-	watch := NewWatch(server.Config)
+	watch := NewTimeoutEnforcer(server.Config)
 	server.Start()
 	t.Cleanup(server.Close)
 	conn := dial(t, server.Listener.Addr().String())
@@ -108,7 +108,7 @@
 		sendRequest(t, conn)
 	}()
 	require.Eventually(t, func() bool { return watch.countWaiting(true)+watch.countWaiting(false) == 0 }, 5*time.Second, time.Millisecond)
-	watch.Sweep(Patience{}, time.Now().Add(time.Hour))
+	watch.CloseExpired(Timeouts{}, time.Now().Add(time.Hour))
 	close(release)
 	<-done
 }
--- a/pkg/daemon/platform.go
+++ b/pkg/daemon/platform.go
@@ -42,7 +42,7 @@
 
 func newConnector(s settings.Settings) *connector {
 	return &connector{
-		options:  endpointrest.Options{MaxAnswer: s.Limits.Answer},
+		options:  endpointrest.Options{MaxResponse: s.Limits.Answer},
 		engines:  map[string]endpoint.Engine{},
 		services: map[string]endpoint.Service{},
 	}
@@ -55,7 +55,7 @@
 	engine, ok := c.engines[spec.URL]
 	if !ok {
 		options := c.options
-		options.RequireEcho = true
+		options.RequireRequestID = true
 		engine = endpointrest.NewEngine(spec.URL, options)
 		c.engines[spec.URL] = engine
 	}
--- a/pkg/daemon/process.go
+++ b/pkg/daemon/process.go
@@ -14,8 +14,8 @@
 	"go.uber.org/fx"
 
 	"github.com/mallowlink/mallowlink/pkg/bundle/rollout"
-	"github.com/mallowlink/mallowlink/pkg/callers"
 	"github.com/mallowlink/mallowlink/pkg/clock"
+	"github.com/mallowlink/mallowlink/pkg/connlimit"
 	"github.com/mallowlink/mallowlink/pkg/entry"
 	"github.com/mallowlink/mallowlink/pkg/eventlog"
 	"github.com/mallowlink/mallowlink/pkg/lease"
@@ -136,7 +136,7 @@
 }
 
 func (p *process) serveCallers() error {
-	limited := callers.Limit(p.components.Listeners.Callers, p.components.Settings.Limits.Connections, p.components.Metrics)
+	limited := connlimit.LimitListener(p.components.Listeners.Callers, p.components.Settings.Limits.Connections, p.components.Metrics)
 	if p.callers.TLSConfig != nil {
 		return p.callers.ServeTLS(limited, "", "")
 	}
--- a/pkg/daemon/requests.go
+++ b/pkg/daemon/requests.go
@@ -42,13 +42,13 @@
 // whose leases this VM holds, and the holder obtains and spends tokens for the requests on this VM.
 type quotas struct {
 	home   *quota.Home
-	holder *quota.Holder
+	holder *quota.Limiter
 }
 
 func newQuotas(bg backgroundContext, id identity, leases *lease.Manager, members *membership.Registry, follower *rollout.Follower, p pools, log logrus.FieldLogger) quotas {
 	limits := func(account string) (quota.Limit, bool) { return accountLimit(follower.Current(), account) }
 	home := quota.NewHome(bg, id.VM, leases, members, p.control, limits, log)
-	holder := quota.NewHolder(bg, id.VM, id.Incarnation, home, leases, p.control, limits)
+	holder := quota.NewLimiter(bg, id.VM, id.Incarnation, home, leases, p.control, limits)
 	return quotas{home: home, holder: holder}
 }
 
--- a/pkg/daemon/state.go
+++ b/pkg/daemon/state.go
@@ -28,7 +28,7 @@
 	Budget        *budget.State         `json:"budget,omitempty"`
 	Owner         owner.State           `json:"owner"`
 	Requests      []request.OpenRequest `json:"requests"`
-	Suspects      []suspect.Notice      `json:"suspects"`
+	Suspects      []suspect.CrashReport `json:"suspects"`
 }
 
 // PeerState is the state of another VM as this VM last observed it.
@@ -60,7 +60,7 @@
 			Budget:        budgetState(b.home),
 			Owner:         o.Snapshot(),
 			Requests:      requests.Open(),
-			Suspects:      suspects.Notices(time.Now()),
+			Suspects:      suspects.Reports(time.Now()),
 		}
 	}
 	return admin{handler: adminhttp.NewHandler(state, registry)}
@@ -86,7 +86,7 @@
 			StoreDown:     m.StoreDown,
 			Gone:          m.Gone,
 			BundleVersion: m.BundleVersion,
-			Silent:        m.Silent.Round(time.Millisecond).String(),
+			Silent:        m.SilentFor.Round(time.Millisecond).String(),
 		})
 	}
 	return list
--- a/pkg/dialect/dialect.go
+++ b/pkg/dialect/dialect.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Terms holds what a caller's header states about a request.
-type Terms struct {
+// RequestInfo holds what a caller's header states about a request.
+type RequestInfo struct {
 	// ID identifies this attempt by the caller. Endpoints echo it in their responses.
 	ID string
-	// Patience is the caller's timeout for the response; 0 if the header states none.
-	Patience time.Duration
+	// Timeout is the caller's timeout for the response; 0 if the header states none.
+	Timeout time.Duration
 	// Key is the key that authenticates the caller.
 	Key string
 	// Model is the base model, empty for requests to plain services.
@@ -32,7 +32,7 @@
 }
 
 // Tokens returns the size of the request: the prompt's length plus the upper bound of the response's length.
-func (t Terms) Tokens() int64 { return int64(t.PromptTokens) + int64(t.OutputTokens) }
+func (t RequestInfo) Tokens() int64 { return int64(t.PromptTokens) + int64(t.OutputTokens) }
 
 // PromptPart is a part of a prompt. Other requests may contain the same part.
 type PromptPart struct {
@@ -58,8 +58,8 @@
 	LastEvent string
 }
 
-// Verdict holds what the header of an endpoint's response states about the request and the endpoint.
-type Verdict struct {
+// ResponseInfo holds what the header of an endpoint's response states about the request and the endpoint.
+type ResponseInfo struct {
 	// RequestID is the identifier that the endpoint echoes.
 	RequestID string
 	// NotRun reports that the endpoint has not run the request and will not run it.
@@ -75,22 +75,22 @@
 	Closes bool
 	// Leaving reports that the endpoint is about to shut down and wants no new requests.
 	Leaving bool
-	// Pause is how long an endpoint that rejected the request wants no further requests from this VM;
-	// 0 if it states none. PauseText is the value as the endpoint sent it, if that could not be parsed
+	// RetryAfter is how long an endpoint that rejected the request wants no further requests from this VM;
+	// 0 if it states none. RetryAfterText is the value as the endpoint sent it, if that could not be parsed
 	// or is not followed.
-	Pause     time.Duration
-	PauseText string
+	RetryAfter     time.Duration
+	RetryAfterText string
 }
 
 // Dialect reads and writes the headers of one platform.
 type Dialect interface {
 	// Inspect parses a caller's header. The error names the malformed part.
-	Inspect(h http.Header) (Terms, error)
+	Inspect(h http.Header) (RequestInfo, error)
 	// Forward converts a caller's header into the one sent to the endpoint. It removes the key,
 	// hop-by-hop fields, and fields that callers may not set.
 	Forward(h http.Header, d Delivery) http.Header
 	// Judge parses the header of an endpoint's response.
-	Judge(status int, h http.Header) Verdict
+	Judge(status int, h http.Header) ResponseInfo
 	// Return converts an endpoint's header into the one sent to the caller.
 	Return(h http.Header) http.Header
 }
--- a/pkg/dispatch/dispatch.go
+++ b/pkg/dispatch/dispatch.go
@@ -33,8 +33,8 @@
 	FailureDomain string
 	Roster        *roster.Roster
 	Orders        *orders.Service
-	Leases        lease.Lessor
-	Caller        peer.Caller
+	Leases        lease.View
+	Peers         peer.Client
 	// Engines fetches status reports directly from engines whose owners cannot be reached.
 	Engines ReportReader
 	// RosterAge returns how old the list of endpoints may be.
@@ -63,7 +63,7 @@
 		locations: newAdapterLocations(),
 		hotKeys:   newHotKeys(),
 		reports:   newReportCache(cfg.Engines, cfg.Log),
-		owners:    newOwnerClient(cfg.Self, cfg.Incarnation, cfg.Orders, cfg.Leases, cfg.Caller, cfg.Log),
+		owners:    newOwnerClient(cfg.Self, cfg.Incarnation, cfg.Orders, cfg.Leases, cfg.Peers, cfg.Log),
 	}
 }
 
@@ -81,8 +81,8 @@
 	d.owners.run(ctx)
 }
 
-// Seen records the adapters that an engine reports as loaded.
-func (d *Dispatcher) Seen(e roster.Endpoint) {
+// RecordLoaded records the adapters that an engine reports as loaded.
+func (d *Dispatcher) RecordLoaded(e roster.Endpoint) {
 	now := time.Now()
 	for _, a := range e.Loaded {
 		d.locations.record(residency.KeyOf(a), e.Incarnation, a.Version, now)
@@ -99,7 +99,7 @@
 	if req.Group.Engine == nil {
 		e, cost := d.health.pickService(candidates, d.cfg.FailureDomain, rand.IntN)
 		d.logPlaced(req, e, logrus.Fields{"by": "least_cost", "cost": cost.Round(time.Microsecond), "candidates": len(candidates)})
-		return d.newPlacement(e, 0, 0, func(orders.Notice) {}), nil
+		return d.newPlacement(e, 0, 0, func(orders.PermitUpdate) {}), nil
 	}
 	return d.placeOnEngine(ctx, req, candidates)
 }
@@ -125,7 +125,7 @@
 
 // newPlacement records that a request is about to be sent to an endpoint and returns its placement. expected is
 // the expected time to the first part of the response. notify receives what becomes of the request's permit.
-func (d *Dispatcher) newPlacement(e roster.Endpoint, version int, expected time.Duration, notify func(orders.Notice)) gateway.Placement {
+func (d *Dispatcher) newPlacement(e roster.Endpoint, version int, expected time.Duration, notify func(orders.PermitUpdate)) gateway.Placement {
 	trial := d.health.requestSent(e.Incarnation, time.Now(), expected)
 	recordActivity := func() {
 		d.health.mu.Lock()
@@ -137,12 +137,12 @@
 		AdapterVersion: version,
 		Started: func(after time.Duration) {
 			recordActivity()
-			notify(orders.Notice{Started: true, First: after})
+			notify(orders.PermitUpdate{Started: true, First: after})
 		},
 		Progress: recordActivity,
 		Done: func(o gateway.Outcome) {
 			d.health.requestDone(e.Incarnation, o, trial, time.Now())
-			notify(orders.Notice{Ended: true, Missing: o.AdapterMissing})
+			notify(orders.PermitUpdate{Ended: true, Missing: o.AdapterMissing})
 		},
 	}
 }
--- a/pkg/dispatch/engine.go
+++ b/pkg/dispatch/engine.go
@@ -271,7 +271,7 @@
 		}
 		switch reply.Status {
 		case orders.Granted:
-			return d.granted(req, e, reply, func(n orders.Notice) {
+			return d.granted(req, e, reply, func(n orders.PermitUpdate) {
 				n.Permit = permit
 				d.owners.queueNotice(address, n)
 			})
@@ -297,9 +297,9 @@
 
 // granted returns the placement for a permit that an owner has granted, unless the endpoint has started to
 // drain or pause meanwhile.
-func (d *Dispatcher) granted(req gateway.Request, e roster.Endpoint, reply orders.AcquireReply, notify func(orders.Notice)) (gateway.Placement, orders.AcquireReply, bool) {
+func (d *Dispatcher) granted(req gateway.Request, e roster.Endpoint, reply orders.AcquireReply, notify func(orders.PermitUpdate)) (gateway.Placement, orders.AcquireReply, bool) {
 	if !d.acceptsRequests(e) {
-		notify(orders.Notice{Ended: true})
+		notify(orders.PermitUpdate{Ended: true})
 		return gateway.Placement{}, reply, false
 	}
 	key := residency.Key{Model: req.Terms.Model, Name: req.Terms.Adapter}
@@ -376,7 +376,7 @@
 
 // placeWithoutPermit returns a placement at an engine without a permit of its owner.
 func (d *Dispatcher) placeWithoutPermit(e roster.Endpoint, key residency.Key, version int) gateway.Placement {
-	return d.newPlacement(e, version, 0, func(n orders.Notice) {
+	return d.newPlacement(e, version, 0, func(n orders.PermitUpdate) {
 		if n.Missing {
 			d.locations.remove(key, e.Incarnation)
 		}
--- a/pkg/dispatch/health.go
+++ b/pkg/dispatch/health.go
@@ -260,8 +260,8 @@
 	return h
 }
 
-// Condition is the health of an endpoint as seen by this VM's own requests.
-type Condition struct {
+// HealthStatus is the health of an endpoint as seen by this VM's own requests.
+type HealthStatus struct {
 	// Avoided says why requests do not go to the endpoint; empty if they do.
 	Avoided string `json:"avoided"`
 	// Outstanding is the number of this VM's requests at the endpoint.
@@ -274,16 +274,16 @@
 	Latency string `json:"latency"`
 }
 
-// Condition returns the health of an endpoint as seen by this VM's own requests.
-func (d *Dispatcher) Condition(id roster.Incarnation) Condition {
+// HealthStatus returns the health of an endpoint as seen by this VM's own requests.
+func (d *Dispatcher) HealthStatus(id roster.Incarnation) HealthStatus {
 	s, now := d.health, time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.endpoints[id]
 	if h == nil {
-		return Condition{}
+		return HealthStatus{}
 	}
-	return Condition{
+	return HealthStatus{
 		Avoided: h.avoidReason(now), Outstanding: h.outstanding, Failures: h.failureShare(now),
 		Latency: h.latency.Round(time.Millisecond).String(), Paused: max(0, h.pausedUntil.Sub(now)).Round(time.Millisecond).String(),
 	}
--- a/pkg/dispatch/health_test.go
+++ b/pkg/dispatch/health_test.go
@@ -129,11 +129,11 @@
 func TestPlacementRecordsProgress(t *testing.T) {
 	d := New(Config{Log: discardLogger()})
 	e := endpoints("a")[0]
-	placement := d.newPlacement(e, 0, 0, func(orders.Notice) {})
+	placement := d.newPlacement(e, 0, 0, func(orders.PermitUpdate) {})
 	d.health.get(e.Incarnation).lastActivity = time.Now().Add(-2 * unresponsiveAfter)
-	require.Equal(t, reasonUnresponsive, d.Condition(e.Incarnation).Avoided)
+	require.Equal(t, reasonUnresponsive, d.HealthStatus(e.Incarnation).Avoided)
 	placement.Progress()
-	require.Empty(t, d.Condition(e.Incarnation).Avoided)
+	require.Empty(t, d.HealthStatus(e.Incarnation).Avoided)
 }
 
 func TestDrainingAndExcludedEndpointsAreLeftOut(t *testing.T) {
--- a/pkg/dispatch/homes_test.go
+++ b/pkg/dispatch/homes_test.go
@@ -36,7 +36,7 @@
 
 func TestHomeKey(t *testing.T) {
 	work := func(model, adapter string, parts ...string) gateway.Request {
-		req := gateway.Request{Terms: dialect.Terms{ID: "r1", Model: model, Adapter: adapter}}
+		req := gateway.Request{Terms: dialect.RequestInfo{ID: "r1", Model: model, Adapter: adapter}}
 		for _, id := range parts {
 			req.Terms.Prompt = append(req.Terms.Prompt, dialect.PromptPart{ID: id})
 		}
--- a/pkg/dispatch/hotkeys_test.go
+++ b/pkg/dispatch/hotkeys_test.go
@@ -80,7 +80,7 @@
 		}
 		view.Set(roster.NewView(list))
 		d := New(Config{
-			Self: "vm", Roster: view, Leases: q, Caller: q, Log: discardLogger(),
+			Self: "vm", Roster: view, Leases: q, Peers: q, Log: discardLogger(),
 			RosterAge: func() time.Duration { return 0 }, Newest: func(residency.Key) int { return 0 },
 		})
 		refused, lateRefusals := 0, 0
@@ -90,7 +90,7 @@
 			_, err := d.Place(t.Context(), gateway.Request{
 				ID: fmt.Sprint(i), Group: bundle.Group{Name: "g", Engine: &bundle.Engine{}},
 				Route:   bundle.Route{Objective: 600 * time.Millisecond},
-				Terms:   dialect.Terms{Model: "m", Adapter: "a"},
+				Terms:   dialect.RequestInfo{Model: "m", Adapter: "a"},
 				Arrived: now, Deadline: now.Add(5 * time.Second),
 			})
 			if err != nil {
@@ -124,7 +124,7 @@
 func TestSessionsKeepTheirHomes(t *testing.T) {
 	ranked := endpoints("a", "b", "c", "d", "e", "f", "g", "h")
 	session := func(id string) gateway.Request {
-		return gateway.Request{Terms: dialect.Terms{Prompt: []dialect.PromptPart{{ID: "shared"}, {ID: id}}}}
+		return gateway.Request{Terms: dialect.RequestInfo{Prompt: []dialect.PromptPart{{ID: "shared"}, {ID: id}}}}
 	}
 	first := map[string]bool{}
 	for i := range 40 {
--- a/pkg/dispatch/owners.go
+++ b/pkg/dispatch/owners.go
@@ -34,8 +34,8 @@
 	self        string
 	incarnation string
 	local       *orders.Service
-	lessor      lease.Lessor
-	peers       peer.Caller
+	lessor      lease.View
+	peers       peer.Client
 	log         logrus.FieldLogger
 	// lastPermit is the number of the permit requested last.
 	lastPermit atomic.Uint64
@@ -43,14 +43,14 @@
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 
-	notices      map[string][]orders.Notice // by address, "" for this VM
-	backoffUntil map[string]time.Time       // by address
+	notices      map[string][]orders.PermitUpdate // by address, "" for this VM
+	backoffUntil map[string]time.Time             // by address
 }
 
-func newOwnerClient(self, incarnation string, local *orders.Service, lessor lease.Lessor, peers peer.Caller, log logrus.FieldLogger) *ownerClient {
+func newOwnerClient(self, incarnation string, local *orders.Service, lessor lease.View, peers peer.Client, log logrus.FieldLogger) *ownerClient {
 	return &ownerClient{
 		self: self, incarnation: incarnation, local: local, lessor: lessor, peers: peers, log: log,
-		notices: map[string][]orders.Notice{}, backoffUntil: map[string]time.Time{},
+		notices: map[string][]orders.PermitUpdate{}, backoffUntil: map[string]time.Time{},
 	}
 }
 
@@ -86,7 +86,7 @@
 	defer cancel()
 	if err := o.peers.Call(ctx, address, orders.AcquireMethod, args, &reply); err != nil {
 		// The owner may have granted the permit or may still grant it, so it has to be ended.
-		o.queueNotice(address, orders.Notice{Permit: args.Permit, Ended: true})
+		o.queueNotice(address, orders.PermitUpdate{Permit: args.Permit, Ended: true})
 		o.callFailed(address, err)
 		return reply, false
 	}
@@ -117,7 +117,7 @@
 }
 
 // queueNotice queues a notice for the next call to an owner.
-func (o *ownerClient) queueNotice(address string, n orders.Notice) {
+func (o *ownerClient) queueNotice(address string, n orders.PermitUpdate) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if list := o.notices[address]; len(list) < maxNotices {
@@ -126,7 +126,7 @@
 }
 
 // takeNotices removes and returns the notices queued for an owner.
-func (o *ownerClient) takeNotices(address string) []orders.Notice {
+func (o *ownerClient) takeNotices(address string) []orders.PermitUpdate {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	list := o.notices[address]
@@ -140,7 +140,7 @@
 func (o *ownerClient) flush(ctx context.Context) {
 	o.mu.Lock()
 	all := o.notices
-	o.notices = map[string][]orders.Notice{}
+	o.notices = map[string][]orders.PermitUpdate{}
 	o.mu.Unlock()
 	for address, list := range all {
 		args := &orders.ReportArgs{Caller: o.self, Incarnation: o.incarnation, Notices: list}
--- a/pkg/dispatch/reports_test.go
+++ b/pkg/dispatch/reports_test.go
@@ -73,7 +73,7 @@
 	view := roster.New()
 	view.Set(roster.NewView(list))
 	d := New(Config{
-		Self: "vm", Roster: view, Leases: o, Caller: o, Engines: o, Log: discardLogger(),
+		Self: "vm", Roster: view, Leases: o, Peers: o, Engines: o, Log: discardLogger(),
 		RosterAge: func() time.Duration { return 0 }, Newest: func(residency.Key) int { return newest },
 	})
 	return d, ids(rankHomes("m/"+adapter, list))
@@ -85,7 +85,7 @@
 	now := time.Now()
 	return gateway.Request{
 		ID: id, Group: bundle.Group{Name: "g", Engine: &bundle.Engine{}}, Route: bundle.Route{Objective: ownerlessObjective},
-		Terms: dialect.Terms{Model: "m", Adapter: adapter}, Arrived: now, Deadline: now.Add(5 * time.Second),
+		Terms: dialect.RequestInfo{Model: "m", Adapter: adapter}, Arrived: now, Deadline: now.Add(5 * time.Second),
 	}
 }
 
--- a/pkg/endpoint/endpoint.go
+++ b/pkg/endpoint/endpoint.go
@@ -29,12 +29,12 @@
 	ErrLoadFailed = errors.New("endpoint: load failed")
 	// ErrNoSlot is returned if every adapter slot of the engine is taken.
 	ErrNoSlot = errors.New("endpoint: no free slot")
-	// ErrCut is returned if the connection ended, or an event was missing, before the end of the response. The
+	// ErrTruncated is returned if the connection ended, or an event was missing, before the end of the response. The
 	// endpoint may have run the request.
-	ErrCut = errors.New("endpoint: answer cut")
-	// ErrGone is returned if the engine does not have, or no longer has, the request to resume or the KV cache
+	ErrTruncated = errors.New("endpoint: answer cut")
+	// ErrNotFound is returned if the engine does not have, or no longer has, the request to resume or the KV cache
 	// to export.
-	ErrGone = errors.New("endpoint: request not known")
+	ErrNotFound = errors.New("endpoint: request not known")
 	// ErrMismatch is returned if the response carried the identifier of another request, or none although one
 	// is required.
 	ErrMismatch = errors.New("endpoint: answer belongs to another request")
@@ -86,14 +86,14 @@
 	Priority int
 }
 
-// Answer is what an endpoint returns for a request. Its body is read piece by piece.
-type Answer interface {
+// Response is what an endpoint returns for a request. Its body is read piece by piece.
+type Response interface {
 	// Status returns the HTTP status of the response.
 	Status() int
 	// Header returns the header of the response, without hop-by-hop fields.
 	Header() http.Header
 	// Next returns the next piece: the data of one event for a stream, otherwise part of the body.
-	// It returns io.EOF at the end of a complete response, and ErrCut if the response ended early.
+	// It returns io.EOF at the end of a complete response, and ErrTruncated if the response ended early.
 	Next() ([]byte, error)
 	// Close releases the connection.
 	Close() error
@@ -136,16 +136,16 @@
 // Service is an endpoint that runs requests.
 type Service interface {
 	// Do sends the request and returns once the status line and header of the response have arrived.
-	Do(ctx context.Context, req Request) (Answer, error)
+	Do(ctx context.Context, req Request) (Response, error)
 }
 
 // Engine is an endpoint that runs a model and can load adapters of it.
 type Engine interface {
 	Service
 	// Resume continues the stream of request id at event number next. The first event has number 0, so
-	// next is the number of events already received. Resume returns ErrGone if the engine no longer has the
+	// next is the number of events already received. Resume returns ErrNotFound if the engine no longer has the
 	// request.
-	Resume(ctx context.Context, id string, next uint64) (Answer, error)
+	Resume(ctx context.Context, id string, next uint64) (Response, error)
 	// Cancel stops request id. It is not an error if the engine does not know the request.
 	Cancel(ctx context.Context, id string) error
 	// Load loads an adapter version. It is not an error if the version is loaded already.
@@ -158,7 +158,7 @@
 	Report(ctx context.Context) (LoadReport, error)
 	// CacheEvents returns the cache events after number since, oldest first. Numbers may have gaps.
 	CacheEvents(ctx context.Context, since uint64) ([]CacheEvent, error)
-	// ExportKV returns the KV cache of the prompt prefix with the given hash, or ErrGone if the engine has none.
+	// ExportKV returns the KV cache of the prompt prefix with the given hash, or ErrNotFound if the engine has none.
 	ExportKV(ctx context.Context, prefix uint64) ([]byte, error)
 	// ImportKV stores the KV cache of a prompt prefix that another engine exported.
 	ImportKV(ctx context.Context, order Order, prefix uint64, data []byte) error
--- a/pkg/endpoint/rest/engine.go
+++ b/pkg/endpoint/rest/engine.go
@@ -33,7 +33,7 @@
 
 // Do sends the request. Every response with status 503 is returned as endpoint.ErrBusy, because
 // engines use this status only for requests that they have not run.
-func (e *Engine) Do(ctx context.Context, req endpoint.Request) (endpoint.Answer, error) {
+func (e *Engine) Do(ctx context.Context, req endpoint.Request) (endpoint.Response, error) {
 	header := httpheader.StripHopByHop(req.Header)
 	header.Set(wire.Priority, strconv.Itoa(req.Priority))
 	// The events of a compressed stream could not be parsed.
@@ -57,7 +57,7 @@
 }
 
 // Resume continues the stream of request id at event number next.
-func (e *Engine) Resume(ctx context.Context, id string, next uint64) (endpoint.Answer, error) {
+func (e *Engine) Resume(ctx context.Context, id string, next uint64) (endpoint.Response, error) {
 	query := url.Values{wire.IDParam: {id}, wire.NextParam: {strconv.FormatUint(next, 10)}}
 	req := endpoint.Request{ID: id, Method: http.MethodGet, Path: wire.ResumePath + "?" + query.Encode()}
 	resp, err := e.service.send(ctx, req, http.Header{})
@@ -149,7 +149,7 @@
 	return events, nil
 }
 
-// ExportKV returns the KV cache of a prompt prefix, or endpoint.ErrGone if the engine has none.
+// ExportKV returns the KV cache of a prompt prefix, or endpoint.ErrNotFound if the engine has none.
 func (e *Engine) ExportKV(ctx context.Context, prefix uint64) ([]byte, error) {
 	return e.call(ctx, http.MethodGet, kvPath(prefix), nil, nil)
 }
@@ -209,7 +209,7 @@
 }
 
 // readAll reads the response to its end and returns its body.
-func readAll(response endpoint.Answer) ([]byte, error) {
+func readAll(response endpoint.Response) ([]byte, error) {
 	var out bytes.Buffer
 	for {
 		piece, err := response.Next()
@@ -247,7 +247,7 @@
 	case wire.CodeNoSlot:
 		return endpoint.ErrNoSlot
 	case wire.CodeGone:
-		return endpoint.ErrGone
+		return endpoint.ErrNotFound
 	}
 	if code == wire.CodeBusy || status == http.StatusServiceUnavailable {
 		return endpoint.ErrBusy
--- a/pkg/endpoint/rest/engine_test.go
+++ b/pkg/endpoint/rest/engine_test.go
@@ -44,7 +44,7 @@
 		opts.TokenInterval = time.Millisecond
 	}
 	server := engine.New(opts)
-	client := rest.NewEngine(serve(t, server), rest.Options{RequireEcho: true})
+	client := rest.NewEngine(serve(t, server), rest.Options{RequireRequestID: true})
 	require.NoError(t, client.Load(t.Context(), order, a1))
 	return server, client
 }
@@ -59,7 +59,7 @@
 }
 
 // readPieces reads a response to its end and returns the number of its pieces.
-func readPieces(response endpoint.Answer) (int, error) {
+func readPieces(response endpoint.Response) (int, error) {
 	defer response.Close()
 	for n := 0; ; n++ {
 		if _, err := response.Next(); err == io.EOF {
@@ -81,7 +81,7 @@
 }
 
 // TestLoadAndUnload checks the error of each order that the engine refuses: load failed, no slot, old
-// fencing number, and adapter in use. A cancelled stream ends with ErrCut.
+// fencing number, and adapter in use. A cancelled stream ends with ErrTruncated.
 func TestLoadAndUnload(t *testing.T) {
 	server, client := newEngine(t, engine.Options{Slots: 2, TokenInterval: 20 * time.Millisecond})
 	ctx := t.Context()
@@ -111,7 +111,7 @@
 	require.Equal(t, []endpoint.LoadedAdapter{{AdapterVersion: a1, Running: 1}}, report.Loaded)
 	require.NoError(t, client.Cancel(ctx, "r1"))
 	_, err = readPieces(response)
-	require.ErrorIs(t, err, endpoint.ErrCut)
+	require.ErrorIs(t, err, endpoint.ErrTruncated)
 	require.NoError(t, client.Cancel(ctx, "unknown"))
 	require.Eventually(t, func() bool { return client.Unload(ctx, order, a1) == nil }, time.Second, time.Millisecond)
 	require.NoError(t, client.SetRole(ctx, order, endpoint.RoleStandby))
@@ -122,7 +122,7 @@
 	server, client := newEngine(t, engine.Options{})
 	require.NoError(t, server.Faults.Put(fault.Fault{Kind: fault.CutStream, Count: 1, Events: 3}))
 	n, err := do(t, client, completion("r1", true, 8))
-	require.ErrorIs(t, err, endpoint.ErrCut)
+	require.ErrorIs(t, err, endpoint.ErrTruncated)
 	require.Equal(t, 3, n)
 	response, err := client.Resume(t.Context(), "r1", 3)
 	require.NoError(t, err)
@@ -131,7 +131,7 @@
 	require.Equal(t, 8+1-3, n) // the tokens and the event with the finish reason
 	require.Len(t, server.Ran(), 1)
 	_, err = client.Resume(t.Context(), "r2", 0)
-	require.ErrorIs(t, err, endpoint.ErrGone)
+	require.ErrorIs(t, err, endpoint.ErrNotFound)
 }
 
 // TestRestart crashes the engine with one request while another one is running. Both are cut, the
@@ -144,9 +144,9 @@
 	response, err := client.Do(t.Context(), completion("neighbour", true, 100_000))
 	require.NoError(t, err)
 	_, err = do(t, client, completion("poison", false, 8))
-	require.ErrorIs(t, err, endpoint.ErrCut)
+	require.ErrorIs(t, err, endpoint.ErrTruncated)
 	_, err = readPieces(response)
-	require.ErrorIs(t, err, endpoint.ErrCut)
+	require.ErrorIs(t, err, endpoint.ErrTruncated)
 	after, err := client.Report(t.Context())
 	require.NoError(t, err)
 	require.NotEqual(t, before.Incarnation, after.Incarnation)
@@ -154,7 +154,7 @@
 	_, err = do(t, client, completion("r", false, 8))
 	require.ErrorIs(t, err, endpoint.ErrNotLoaded)
 	_, err = client.Resume(t.Context(), "neighbour", 0)
-	require.ErrorIs(t, err, endpoint.ErrGone)
+	require.ErrorIs(t, err, endpoint.ErrNotFound)
 }
 
 // TestWeightsFromStore checks that a load reads the weights from the store, and fails while the store
@@ -197,7 +197,7 @@
 	require.NoError(t, err)
 	require.Equal(t, data, again)
 	_, err = other.ExportKV(ctx, 1)
-	require.ErrorIs(t, err, endpoint.ErrGone)
+	require.ErrorIs(t, err, endpoint.ErrNotFound)
 }
 
 // TestReportLag checks that a client returns an outdated report as the engine sent it.
@@ -262,7 +262,7 @@
 	require.Equal(t, []string{"p0", "p1", "p9"}, ids)
 }
 
-// TestServiceCallRunsOnce checks that a POST whose response is lost fails with ErrCut and is not sent
+// TestServiceCallRunsOnce checks that a POST whose response is lost fails with ErrTruncated and is not sent
 // again by the HTTP client: it has run once.
 func TestServiceCallRunsOnce(t *testing.T) {
 	server := service.New(service.Options{})
@@ -273,7 +273,7 @@
 	}
 	require.NoError(t, server.Faults.Put(fault.Fault{Kind: fault.LostReply, Count: 1}))
 	_, err := do(t, client, req)
-	require.ErrorIs(t, err, endpoint.ErrCut)
+	require.ErrorIs(t, err, endpoint.ErrTruncated)
 	require.Len(t, server.Ran(), 1)
 	require.Equal(t, "key-1", server.Ran()[0].Header.Get("Idempotency-Key"))
 
--- a/pkg/endpoint/rest/response.go
+++ b/pkg/endpoint/rest/response.go
@@ -73,9 +73,9 @@
 	case err == io.EOF && b.framed:
 		return io.EOF
 	case err == io.EOF:
-		return errors.Wrap(endpoint.ErrCut, "body has no mark of its end")
+		return errors.Wrap(endpoint.ErrTruncated, "body has no mark of its end")
 	}
-	return &Error{Kind: endpoint.ErrCut, Cause: err}
+	return &Error{Kind: endpoint.ErrTruncated, Cause: err}
 }
 
 // Close releases the connection.
@@ -111,7 +111,7 @@
 func (s *streamResponse) Header() http.Header { return s.header }
 
 // Next returns the data of the next event. It skips events that were received already, and fails with
-// endpoint.ErrCut if an event is missing.
+// endpoint.ErrTruncated if an event is missing.
 func (s *streamResponse) Next() ([]byte, error) {
 	for s.err == nil {
 		ev, err := s.parser.Next()
@@ -119,13 +119,13 @@
 		case errors.Is(err, sse.ErrTooLarge):
 			s.err = &Error{Kind: endpoint.ErrTooLarge, Cause: err}
 		case err != nil:
-			s.err = &Error{Kind: endpoint.ErrCut, Cause: err}
+			s.err = &Error{Kind: endpoint.ErrTruncated, Cause: err}
 		case string(ev.Data) == sse.EndMarker:
 			s.err = io.EOF
 		case ev.Numbered && ev.ID < s.nextID:
 			continue
 		case ev.Numbered && ev.ID > s.nextID:
-			s.err = errors.Wrapf(endpoint.ErrCut, "event %d missing", s.nextID)
+			s.err = errors.Wrapf(endpoint.ErrTruncated, "event %d missing", s.nextID)
 		default:
 			return s.deliver(ev.Data)
 		}
--- a/pkg/endpoint/rest/service.go
+++ b/pkg/endpoint/rest/service.go
@@ -20,8 +20,8 @@
 
 // Defaults of Options.
 const (
-	DefaultMaxAnswer = 64 << 20 // bytes
-	DefaultMaxEvent  = 1 << 20  // bytes
+	DefaultMaxResponse = 64 << 20 // bytes
+	DefaultMaxEvent    = 1 << 20  // bytes
 )
 
 // maxFailureBody bounds the part of an error response that is read to find its code.
@@ -29,13 +29,13 @@
 
 // Options configure a Service or an Engine. Zero values mean the defaults.
 type Options struct {
-	// MaxAnswer bounds the body of a response, in bytes.
-	MaxAnswer int64
+	// MaxResponse bounds the body of a response, in bytes.
+	MaxResponse int64
 	// MaxEvent bounds one event of a stream, in bytes.
 	MaxEvent int
-	// RequireEcho makes responses without an X-Request-Id fail. Those with the identifier of another request
+	// RequireRequestID makes responses without an X-Request-Id fail. Those with the identifier of another request
 	// always fail.
-	RequireEcho bool
+	RequireRequestID bool
 	// HTTP configures the underlying HTTP clients.
 	HTTP httponce.Options
 }
@@ -82,8 +82,8 @@
 
 // newPooled returns a client that uses pooled connections for every request.
 func newPooled(base string, opts Options) *Service {
-	if opts.MaxAnswer == 0 {
-		opts.MaxAnswer = DefaultMaxAnswer
+	if opts.MaxResponse == 0 {
+		opts.MaxResponse = DefaultMaxResponse
 	}
 	if opts.MaxEvent == 0 {
 		opts.MaxEvent = DefaultMaxEvent
@@ -101,7 +101,7 @@
 // Do sends the request. Only a response with status 503 and code "busy" is returned as
 // endpoint.ErrBusy: unlike an engine, a service may have run a request that it answers with another
 // 503.
-func (s *Service) Do(ctx context.Context, req endpoint.Request) (endpoint.Answer, error) {
+func (s *Service) Do(ctx context.Context, req endpoint.Request) (endpoint.Response, error) {
 	resp, err := s.send(ctx, req, httpheader.StripHopByHop(req.Header))
 	if err != nil {
 		return nil, err
@@ -139,7 +139,7 @@
 	}
 	if resp.StatusCode == http.StatusSwitchingProtocols {
 		resp.Body.Close()
-		return nil, errors.Wrap(endpoint.ErrCut, "endpoint switched protocols unasked")
+		return nil, errors.Wrap(endpoint.ErrTruncated, "endpoint switched protocols unasked")
 	}
 	if err := s.checkRequestID(resp, req.ID); err != nil {
 		resp.Body.Close()
@@ -149,10 +149,10 @@
 }
 
 // checkRequestID returns endpoint.ErrMismatch if the response carries the identifier of another
-// request, or none although Options.RequireEcho is set.
+// request, or none although Options.RequireRequestID is set.
 func (s *Service) checkRequestID(resp *http.Response, id string) error {
 	echo := resp.Header.Get(wire.RequestID)
-	if echo == id || echo == "" && !s.opts.RequireEcho {
+	if echo == id || echo == "" && !s.opts.RequireRequestID {
 		return nil
 	}
 	return errors.Wrapf(endpoint.ErrMismatch, "want %q, got %q", id, echo)
@@ -164,7 +164,7 @@
 	var failed *httponce.Error
 	switch {
 	case !errors.As(err, &failed) || failed.Sent:
-		return &Error{Kind: endpoint.ErrCut, Cause: err}
+		return &Error{Kind: endpoint.ErrTruncated, Cause: err}
 	case ctx.Err() != nil:
 		return &Error{Kind: endpoint.ErrNotSent, Cause: err}
 	}
@@ -173,17 +173,17 @@
 
 // newResponse wraps resp for reading. If the request asked for a stream and the endpoint sent one,
 // next is the number of its first event.
-func (s *Service) newResponse(resp *http.Response, stream bool, next uint64) endpoint.Answer {
+func (s *Service) newResponse(resp *http.Response, stream bool, next uint64) endpoint.Response {
 	mediaType, _, _ := mime.ParseMediaType(resp.Header.Get("Content-Type"))
 	if stream && mediaType == "text/event-stream" {
-		return newStreamResponse(resp, next, s.opts.MaxAnswer, s.opts.MaxEvent)
+		return newStreamResponse(resp, next, s.opts.MaxResponse, s.opts.MaxEvent)
 	}
-	return newBodyResponse(resp, s.opts.MaxAnswer)
+	return newBodyResponse(resp, s.opts.MaxResponse)
 }
 
 // readFailure wraps an error response, whose body can still be read from the start, and returns the
 // detail of its wire.Failure. The detail is empty if the body has another form.
-func (s *Service) readFailure(resp *http.Response) (endpoint.Answer, wire.FailureDetail) {
+func (s *Service) readFailure(resp *http.Response) (endpoint.Response, wire.FailureDetail) {
 	head, _ := io.ReadAll(io.LimitReader(resp.Body, maxFailureBody))
 	var failure wire.Failure
 	// A body of another form has no code, so that the error does not matter.
--- a/pkg/endpoint/rest/service_test.go
+++ b/pkg/endpoint/rest/service_test.go
@@ -49,15 +49,15 @@
 		err                  error
 	}{
 		{"length reached", ok + "Content-Length: 2\r\n\r\nab", "ab", nil},
-		{"length not reached", ok + "Content-Length: 3\r\n\r\nab", "ab", endpoint.ErrCut},
+		{"length not reached", ok + "Content-Length: 3\r\n\r\nab", "ab", endpoint.ErrTruncated},
 		{"chunks ended", ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", "ab", nil},
-		{"chunks cut", ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", "ab", endpoint.ErrCut},
-		{"no mark of the end", ok + "\r\nab", "ab", endpoint.ErrCut},
+		{"chunks cut", ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", "ab", endpoint.ErrTruncated},
+		{"no mark of the end", ok + "\r\nab", "ab", endpoint.ErrTruncated},
 		{"no content", "HTTP/1.1 204 No Content\r\n\r\n", "", nil},
 		{"stream done", sse + "id: 0\ndata: a\n\nid: 1\ndata: b\n\ndata: [DONE]\n\n", "ab", nil},
-		{"stream cut between events", sse + "id: 0\ndata: a\n\n", "a", endpoint.ErrCut},
-		{"stream cut in the end marker", sse + "data: a\n\ndata: [DONE]\n", "a", endpoint.ErrCut},
-		{"stream with a gap", sse + "id: 0\ndata: a\n\nid: 2\ndata: c\n\ndata: [DONE]\n\n", "a", endpoint.ErrCut},
+		{"stream cut between events", sse + "id: 0\ndata: a\n\n", "a", endpoint.ErrTruncated},
+		{"stream cut in the end marker", sse + "data: a\n\ndata: [DONE]\n", "a", endpoint.ErrTruncated},
+		{"stream with a gap", sse + "id: 0\ndata: a\n\nid: 2\ndata: c\n\ndata: [DONE]\n\n", "a", endpoint.ErrTruncated},
 		{"stream with a duplicate", sse + "id: 0\ndata: a\n\nid: 0\ndata: a\n\ndata: [DONE]\n\n", "a", nil},
 	}
 	for _, c := range cases {
@@ -74,7 +74,7 @@
 }
 
 // collect returns the body of the response; after an error, what was read before it.
-func collect(response endpoint.Answer) (string, error) {
+func collect(response endpoint.Response) (string, error) {
 	var body []byte
 	for {
 		piece, err := response.Next()
@@ -105,7 +105,7 @@
 	require.NotErrorIs(t, err, endpoint.ErrRefused)
 
 	_, err = NewService(serve(t, raw("")), Options{}).Do(t.Context(), post(false))
-	require.ErrorIs(t, err, endpoint.ErrCut)
+	require.ErrorIs(t, err, endpoint.ErrTruncated)
 	require.NotErrorIs(t, err, endpoint.ErrRefused)
 }
 
@@ -114,7 +114,7 @@
 func TestUnrequestedProtocolSwitch(t *testing.T) {
 	url := serve(t, raw("HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n"))
 	_, err := NewService(url, Options{}).Do(t.Context(), post(false))
-	require.ErrorIs(t, err, endpoint.ErrCut)
+	require.ErrorIs(t, err, endpoint.ErrTruncated)
 }
 
 // TestHeadHasNoBody checks that the response to a HEAD request is complete although its Content-Length
@@ -132,7 +132,7 @@
 }
 
 // TestResponseOfAnotherRequest checks that a response with another identifier is refused, and one
-// without an identifier only if RequireEcho is set.
+// without an identifier only if RequireRequestID is set.
 func TestResponseOfAnotherRequest(t *testing.T) {
 	respondWith := func(id string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -143,7 +143,7 @@
 	}
 	_, err := NewService(serve(t, respondWith("r2")), Options{}).Do(t.Context(), post(false))
 	require.ErrorIs(t, err, endpoint.ErrMismatch)
-	_, err = NewService(serve(t, respondWith("")), Options{RequireEcho: true}).Do(t.Context(), post(false))
+	_, err = NewService(serve(t, respondWith("")), Options{RequireRequestID: true}).Do(t.Context(), post(false))
 	require.ErrorIs(t, err, endpoint.ErrMismatch)
 	for _, id := range []string{"r1", ""} {
 		response, err := NewService(serve(t, respondWith(id)), Options{}).Do(t.Context(), post(false))
@@ -155,7 +155,7 @@
 // TestResponseTooLarge checks the limit on the body of a response.
 func TestResponseTooLarge(t *testing.T) {
 	url := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "12345") })
-	response, err := NewService(url, Options{MaxAnswer: 4}).Do(t.Context(), post(false))
+	response, err := NewService(url, Options{MaxResponse: 4}).Do(t.Context(), post(false))
 	require.NoError(t, err)
 	_, err = collect(response)
 	require.ErrorIs(t, err, endpoint.ErrTooLarge)
--- a/pkg/entry/model.go
+++ b/pkg/entry/model.go
@@ -42,7 +42,7 @@
 		return e
 	}
 	body, held, e := h.readBody(x.w, x.r)
-	defer func() { h.memory.Give(held) }()
+	defer func() { h.memory.Release(held) }()
 	if e != nil {
 		return e
 	}
--- a/pkg/entry/service.go
+++ b/pkg/entry/service.go
@@ -33,7 +33,7 @@
 		return result.New(result.UnknownRoute, "the path holds a key")
 	}
 	body, held, e := h.readBody(x.w, x.r)
-	defer func() { h.memory.Give(held) }()
+	defer func() { h.memory.Release(held) }()
 	if e != nil {
 		return e
 	}
--- a/pkg/fleettest/fleet.go
+++ b/pkg/fleettest/fleet.go
@@ -51,7 +51,7 @@
 	ID, Address, Incarnation string
 	Ctx                      context.Context
 	Gate                     *Gate
-	Caller                   peer.Caller
+	Caller                   peer.Client
 	Registry                 *membership.Registry
 	Manager                  *lease.Manager
 
--- a/pkg/fleettest/network.go
+++ b/pkg/fleettest/network.go
@@ -125,8 +125,8 @@
 	n.loss = share
 }
 
-// Caller returns the network as the VM at the address reaches it.
-func (n *Network) Caller(from string, gate *Gate) peer.Caller {
+// Client returns the network as the VM at the address reaches it.
+func (n *Network) Caller(from string, gate *Gate) peer.Client {
 	return &networkCaller{network: n, from: from, gate: gate}
 }
 
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -24,10 +24,10 @@
 	// Wait is how long one call waits for a change (long polling). Pause is the time between two calls;
 	// a pause bounds the number of calls for a table that changes all the time.
 	Wait, Pause time.Duration
-	// Changed is called after something has changed, with all rows by key and the table position to which they
+	// OnChange is called after something has changed, with all rows by key and the table position to which they
 	// belong. It must not keep the map.
-	Changed func(rows map[string]platform.Row, position uint64)
-	Log     logrus.FieldLogger
+	OnChange func(rows map[string]platform.Row, position uint64)
+	Log      logrus.FieldLogger
 }
 
 const (
@@ -74,9 +74,9 @@
 	return f.confirmed
 }
 
-// Returned returns when the table last began to respond again after an outage, or zero if there was no
+// RecoveredAt returns when the table last began to respond again after an outage, or zero if there was no
 // outage.
-func (f *Follower) Returned() time.Time {
+func (f *Follower) RecoveredAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.recoveredAt
@@ -113,7 +113,7 @@
 		f.replace(rows)
 		f.position, f.hasPosition = position, true
 		f.markUp(sent)
-		f.cfg.Changed(f.rows, f.position)
+		f.cfg.OnChange(f.rows, f.position)
 		return nil
 	}
 	wait := f.cfg.Wait
@@ -129,7 +129,7 @@
 	f.apply(changes)
 	f.markUp(confirmedUntil(sent, time.Now(), wait, len(changes)))
 	if len(changes) > 0 {
-		f.cfg.Changed(f.rows, f.position)
+		f.cfg.OnChange(f.rows, f.position)
 	}
 	return nil
 }
--- a/pkg/follow/follow_test.go
+++ b/pkg/follow/follow_test.go
@@ -101,7 +101,7 @@
 		var rows map[string]string
 		log := logrus.New()
 		log.SetLevel(logrus.PanicLevel)
-		f := New(Config{Name: "x", Feed: feed, Wait: wait, Pause: pause, Log: log, Changed: func(list map[string]platform.Row, _ uint64) {
+		f := New(Config{Name: "x", Feed: feed, Wait: wait, Pause: pause, Log: log, OnChange: func(list map[string]platform.Row, _ uint64) {
 			mu.Lock()
 			defer mu.Unlock()
 			rows = map[string]string{}
@@ -150,11 +150,11 @@
 		before := f.Confirmed()
 		time.Sleep(20 * time.Second)
 		require.Equal(t, before, f.Confirmed())
-		require.True(t, f.Returned().IsZero())
+		require.True(t, f.RecoveredAt().IsZero())
 		feed.withLock(func() { feed.down = false })
 		time.Sleep(3 * time.Second)
 		require.LessOrEqual(t, time.Since(f.Confirmed()), time.Second)
-		require.WithinDuration(t, time.Now().Add(-2*time.Second), f.Returned(), 2*time.Second)
+		require.WithinDuration(t, time.Now().Add(-2*time.Second), f.RecoveredAt(), 2*time.Second)
 	})
 }
 
--- a/pkg/follow/mirror.go
+++ b/pkg/follow/mirror.go
@@ -45,9 +45,9 @@
 	return m.matching(prefix), nil
 }
 
-// Known returns the rows whose keys begin with prefix, as of the last listing. It makes no call to the
+// Cached returns the rows whose keys begin with prefix, as of the last listing. It makes no call to the
 // platform.
-func (m *Mirror) Known(prefix string) []platform.Row {
+func (m *Mirror) Cached(prefix string) []platform.Row {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.matching(prefix)
--- a/pkg/gateway/call.go
+++ b/pkg/gateway/call.go
@@ -59,7 +59,7 @@
 	configVersion uint64
 	route         bundle.Route
 	group         bundle.Group
-	terms         dialect.Terms
+	terms         dialect.RequestInfo
 	account       string
 	// cost is what the request costs its account in tokens, charge what has been spent.
 	cost   int64
@@ -78,7 +78,7 @@
 	maybeCrashed *roster.Incarnation
 
 	placement Placement
-	response  *upstream.Answer
+	response  *upstream.Response
 	sentAt    time.Time
 	// headAt is when the head of the response arrived; zero before.
 	headAt time.Time
@@ -127,7 +127,7 @@
 		if c.cancel != nil {
 			c.cancel()
 		}
-		c.g.cfg.Memory.Give(c.heldMemory)
+		c.g.cfg.Memory.Release(c.heldMemory)
 	}()
 	for {
 		step, ok := steps[c.stateMachine.State()]
@@ -183,8 +183,8 @@
 	if e := c.authenticate(rules); e != nil {
 		return c.refuse(e)
 	}
-	c.group = rules.Bundle.Groups[route.Pick(c.route, rand.Float64())]
-	c.g.cfg.Retries(c.group.Name).Request(c.arrived)
+	c.group = rules.Bundle.Groups[route.PickGroup(c.route, rand.Float64())]
+	c.g.cfg.Retries(c.group.Name).CountRequest(c.arrived)
 	c.setDeadline()
 	if e := c.readBody(rules.Bundle.Callers.BodyBytes); e != nil {
 		return c.refuse(e)
@@ -236,8 +236,8 @@
 	if c.route.Timeout > 0 {
 		c.timeLimit = c.route.Timeout
 	}
-	if c.terms.Patience > 0 {
-		c.timeLimit = min(c.timeLimit, c.terms.Patience)
+	if c.terms.Timeout > 0 {
+		c.timeLimit = min(c.timeLimit, c.terms.Timeout)
 	}
 	c.deadline = c.arrived.Add(c.timeLimit)
 	parent := c.r.Context()
@@ -327,7 +327,7 @@
 func (c *call) dispatchRequest() Request {
 	return Request{
 		ID: c.terms.ID, Group: c.group, Route: c.route, Account: c.account, Terms: c.terms,
-		Urgency: c.urgency, OverLimit: c.charge.Excess, Arrived: c.arrived, Deadline: c.deadline, Exclude: c.exclude,
+		Urgency: c.urgency, OverLimit: c.charge.OverLimit, Arrived: c.arrived, Deadline: c.deadline, Exclude: c.exclude,
 	}
 }
 
--- a/pkg/gateway/errors.go
+++ b/pkg/gateway/errors.go
@@ -63,7 +63,7 @@
 func (c *call) logEnd(state chart.State) {
 	fields := logrus.Fields{
 		"event": "request", "id": c.terms.ID, "end": state, "route": c.route.Name, "account": c.account,
-		"adapter": c.terms.Adapter, "cost": c.cost, "excess": c.charge.Excess, "urgency": c.urgency,
+		"adapter": c.terms.Adapter, "cost": c.cost, "excess": c.charge.OverLimit, "urgency": c.urgency,
 		"time_limit": c.timeLimit, "took": time.Since(c.arrived).Round(time.Millisecond),
 		"waited": c.waited.Round(time.Millisecond), "first": c.firstByte.Round(time.Millisecond),
 		"runs": c.runs, "rejections": c.rejections,
@@ -91,7 +91,7 @@
 		"event": "attempt_ended", "id": c.terms.ID, "endpoint": c.placement.Endpoint.ID, "started": c.placement.Endpoint.Started,
 		"result": result, "after": time.Since(c.sentAt).Round(time.Millisecond), "runs": c.runs, "passed_on": c.relay.headSent,
 	})
-	if upstream.Ended(err) {
+	if upstream.ConnectionClosed(err) {
 		c.g.meters.connectionsEnded.Inc(1)
 		entry = entry.WithField("fingerprint", strconv.FormatUint(c.fingerprint(), 16))
 	}
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -37,7 +37,7 @@
 	Group   bundle.Group
 	Route   bundle.Route
 	Account string
-	Terms   dialect.Terms
+	Terms   dialect.RequestInfo
 	// Urgency ranks the request; 0 is first.
 	Urgency int
 	// OverLimit says that the account is over its limit, but within the tolerance: the request yields to all
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -32,14 +32,14 @@
 // testDialect is a dialect with short header names.
 type testDialect struct{}
 
-func (testDialect) Inspect(h http.Header) (dialect.Terms, error) {
-	t := dialect.Terms{ID: h.Get("Id"), Key: h.Get("Key"), LastEvent: h.Get("Last")}
+func (testDialect) Inspect(h http.Header) (dialect.RequestInfo, error) {
+	t := dialect.RequestInfo{ID: h.Get("Id"), Key: h.Get("Key"), LastEvent: h.Get("Last")}
 	if text := h.Get("Patience"); text != "" {
 		ms, err := strconv.Atoi(text)
 		if err != nil {
 			return t, err
 		}
-		t.Patience = time.Duration(ms) * time.Millisecond
+		t.Timeout = time.Duration(ms) * time.Millisecond
 	}
 	if text := h.Get("Tokens"); text != "" {
 		n, err := strconv.Atoi(text)
@@ -63,8 +63,8 @@
 	return out
 }
 
-func (testDialect) Judge(status int, h http.Header) dialect.Verdict {
-	return dialect.Verdict{RequestID: h.Get("Id"), NotRun: h.Get("Not-Run") != "", Signed: h.Get("Signature") != ""}
+func (testDialect) Judge(status int, h http.Header) dialect.ResponseInfo {
+	return dialect.ResponseInfo{RequestID: h.Get("Id"), NotRun: h.Get("Not-Run") != "", Signed: h.Get("Signature") != ""}
 }
 
 func (testDialect) Return(h http.Header) http.Header { return h.Clone() }
--- a/pkg/gateway/pass.go
+++ b/pkg/gateway/pass.go
@@ -153,7 +153,7 @@
 		return nil, err
 	}
 	if more := int64(cap(c.relay.events.pending)) - c.relay.heldMemory; more > 0 {
-		if !c.g.cfg.Memory.Take(more) {
+		if !c.g.cfg.Memory.Reserve(more) {
 			return nil, memory.ErrExhausted
 		}
 		c.relay.heldMemory += more
--- a/pkg/gateway/send.go
+++ b/pkg/gateway/send.go
@@ -28,7 +28,7 @@
 		return c.noResponse(err)
 	}
 	c.response, c.headAt = response, time.Now()
-	c.g.cfg.Suspects.Answered(e.Incarnation, c.sentAt)
+	c.g.cfg.Suspects.Responded(e.Incarnation, c.sentAt)
 	if response.Verdict.NotRun {
 		return c.rejected()
 	}
@@ -103,12 +103,12 @@
 // pause that cannot be read or is not kept.
 func (c *call) requestedPause() time.Duration {
 	v := c.response.Verdict
-	if v.PauseText != "" {
+	if v.RetryAfterText != "" {
 		c.g.cfg.Log.WithFields(logrus.Fields{
-			"event": "pause_not_kept", "id": c.terms.ID, "endpoint": c.placement.Endpoint.ID, "asked": v.PauseText, "pause": v.Pause,
+			"event": "pause_not_kept", "id": c.terms.ID, "endpoint": c.placement.Endpoint.ID, "asked": v.RetryAfterText, "pause": v.RetryAfter,
 		}).Warn("pause requested by endpoint is not kept")
 	}
-	return v.Pause
+	return v.RetryAfter
 }
 
 // closeResponse closes the endpoint's response and ends the placement.
@@ -143,7 +143,7 @@
 
 // takeRetry takes one retry from the budget of the group. It reports false if none is left.
 func (c *call) takeRetry() bool {
-	if !c.g.cfg.Retries(c.group.Name).Repeat(time.Now()) {
+	if !c.g.cfg.Retries(c.group.Name).AllowRetry(time.Now()) {
 		return false
 	}
 	c.g.meters.repeats.Inc(1)
--- a/pkg/gateway/suspects.go
+++ b/pkg/gateway/suspects.go
@@ -14,25 +14,25 @@
 // Suspects protects endpoints from requests that crash the endpoints that run them. A request is suspect while
 // crashes of endpoints are held against it. *suspect.Watch implements it.
 type Suspects interface {
-	// Quiet reports whether no request is suspect, so that requests need no fingerprint before they are sent.
-	Quiet() bool
+	// NoSuspects reports whether no request is suspect, so that requests need no fingerprint before they are sent.
+	NoSuspects() bool
 	// Admit decides whether a request may be sent. After Refuse the duration is the time to retry after.
 	Admit(fingerprint uint64) (suspect.Decision, time.Duration)
-	// Avoid returns the endpoints at which other suspects run.
-	Avoid(fingerprint uint64) []string
+	// SuspectEndpoints returns the endpoints at which other suspects run.
+	SuspectEndpoints(fingerprint uint64) []string
 	// Started records that a suspect is about to be sent to an endpoint, and reports false if it must not be
 	// sent there. Left records that it has ended there.
 	Started(fingerprint uint64, endpoint string) bool
-	Left(fingerprint uint64, endpoint string)
-	// AwaitVerdict waits briefly until it is known whether an incarnation of an endpoint has ended.
-	AwaitVerdict(ctx context.Context, id roster.Incarnation)
+	Ended(fingerprint uint64, endpoint string)
+	// AwaitLiveness waits briefly until it is known whether an incarnation of an endpoint has ended.
+	AwaitLiveness(ctx context.Context, id roster.Incarnation)
 	// Served records that a request got a complete response.
 	Served(fingerprint uint64)
-	// Answered records that an endpoint has responded to a request that was sent to it at the given time.
-	Answered(id roster.Incarnation, sent time.Time)
-	// Broke records that the endpoint closed or reset the connection of a request, sent at the given time,
+	// Responded records that an endpoint has responded to a request that was sent to it at the given time.
+	Responded(id roster.Incarnation, sent time.Time)
+	// ConnectionLost records that the endpoint closed or reset the connection of a request, sent at the given time,
 	// before the response was complete. running is for how long the endpoint had been responding.
-	Broke(e roster.Endpoint, account string, fingerprint uint64, sent time.Time, running time.Duration)
+	ConnectionLost(e roster.Endpoint, account string, fingerprint uint64, sent time.Time, running time.Duration)
 }
 
 const (
@@ -48,10 +48,10 @@
 func (c *call) isolate() ([]string, *result.Error) {
 	c.suspected = false
 	if c.maybeCrashed != nil {
-		c.g.cfg.Suspects.AwaitVerdict(c.ctx, *c.maybeCrashed)
+		c.g.cfg.Suspects.AwaitLiveness(c.ctx, *c.maybeCrashed)
 		c.maybeCrashed = nil
 	}
-	if c.g.cfg.Suspects.Quiet() {
+	if c.g.cfg.Suspects.NoSuspects() {
 		return nil, nil
 	}
 	for {
@@ -60,12 +60,12 @@
 		case suspect.Allow:
 			return nil, nil
 		case suspect.Refuse:
-			e := result.New(result.Suspect, "the same request ended several endpoints, fingerprint "+suspect.Text(c.fingerprint()))
+			e := result.New(result.Suspect, "the same request ended several endpoints, fingerprint "+suspect.FormatFingerprint(c.fingerprint()))
 			e.RetryAfter = after
 			return nil, e
 		case suspect.Isolate:
 			c.suspected = true
-			return c.g.cfg.Suspects.Avoid(c.fingerprint()), nil
+			return c.g.cfg.Suspects.SuspectEndpoints(c.fingerprint()), nil
 		}
 		if e := c.abortReason(); e != nil {
 			return nil, e
@@ -105,14 +105,14 @@
 	c.placement.Done(o)
 	if c.suspected {
 		c.suspected = false
-		c.g.cfg.Suspects.Left(c.fingerprint(), c.placement.Endpoint.ID)
+		c.g.cfg.Suspects.Ended(c.fingerprint(), c.placement.Endpoint.ID)
 	}
 }
 
 // reportBrokenConnection reports that the endpoint closed or reset the connection, if that is why the response
 // failed: the endpoint may have crashed because of the request.
 func (c *call) reportBrokenConnection(err error) {
-	if c.ctx.Err() != nil || !upstream.Ended(err) {
+	if c.ctx.Err() != nil || !upstream.ConnectionClosed(err) {
 		return
 	}
 	var running time.Duration
@@ -120,7 +120,7 @@
 		running = time.Since(c.headAt)
 	}
 	c.maybeCrashed = &c.placement.Endpoint.Incarnation
-	c.g.cfg.Suspects.Broke(c.placement.Endpoint, c.account, c.fingerprint(), c.sentAt, running)
+	c.g.cfg.Suspects.ConnectionLost(c.placement.Endpoint, c.account, c.fingerprint(), c.sentAt, running)
 }
 
 // maxRecordedBody bounds the bodies of requests that are recorded as served while no request is suspect, in
@@ -129,7 +129,7 @@
 
 // recordServed records that an endpoint has responded to the request completely.
 func (c *call) recordServed() {
-	if len(c.body) <= maxRecordedBody || !c.g.cfg.Suspects.Quiet() {
+	if len(c.body) <= maxRecordedBody || !c.g.cfg.Suspects.NoSuspects() {
 		c.g.cfg.Suspects.Served(c.fingerprint())
 	}
 }
--- a/pkg/gateway/suspects_test.go
+++ b/pkg/gateway/suspects_test.go
@@ -39,14 +39,14 @@
 // unknownProber is a prober whose endpoints never respond.
 type unknownProber struct{}
 
-func (unknownProber) Probe(context.Context, roster.Endpoint) suspect.Life { return suspect.Unknown }
+func (unknownProber) Probe(context.Context, roster.Endpoint) suspect.Liveness { return suspect.Unknown }
 
 // suspects returns the gateway's Watch over requests that crash endpoints.
-func (b *testbed) suspects() *suspect.Watch {
+func (b *testbed) suspects() *suspect.Detector {
 	log, _ := test.NewNullLogger()
-	return suspect.NewWatch(b.t.Context(), suspect.WatchConfig{
+	return suspect.NewDetector(b.t.Context(), suspect.DetectorConfig{
 		Table: b.suspectTable, Prober: unknownProber{}, Listed: func(roster.Endpoint) suspect.Listing { return suspect.Current },
-		Told: func() {}, Metrics: metrics.NewRegistry(), Log: log,
+		OnChange: func() {}, Metrics: metrics.NewRegistry(), Log: log,
 	})
 }
 
@@ -92,11 +92,11 @@
 func TestSuspectDoesNotWaitForOthers(t *testing.T) {
 	b := newTestbed(t, respondWith("whole"))
 	other, own := uint64(1), suspect.Fingerprint("acme", suspect.Hash(http.MethodPost, "/safe/x", []byte("body")))
-	b.suspectTable.Accuse(time.Now(), "acme", other, "e9/1")
-	b.suspectTable.Accuse(time.Now(), "acme", own, "e9/1")
+	b.suspectTable.AddReportedCrash(time.Now(), "acme", other, "e9/1")
+	b.suspectTable.AddReportedCrash(time.Now(), "acme", own, "e9/1")
 	require.True(t, b.suspectTable.Started(time.Now(), other, "e0"))
 	require.Equal(t, "whole", b.do("/safe/x", nil, "body").body)
-	require.Len(t, b.suspectTable.Notices(time.Now()), 2, "the crash held against the other request, and that this one was served")
+	require.Len(t, b.suspectTable.Reports(time.Now()), 2, "the crash held against the other request, and that this one was served")
 	decision, _ := b.suspectTable.Admit(time.Now(), own)
 	require.Equal(t, suspect.Allow, decision)
 }
--- a/pkg/gatewayd/fleetview.go
+++ b/pkg/gatewayd/fleetview.go
@@ -73,8 +73,8 @@
 		if decoded.Config != nil {
 			v.applyConfig(decoded.Config)
 		}
-		if decoded.Version != nil {
-			v.applyAdapterVersion(*decoded.Version)
+		if decoded.AdapterVersion != nil {
+			v.applyAdapterVersion(*decoded.AdapterVersion)
 		}
 	}
 	v.onChange()
@@ -301,14 +301,14 @@
 }
 
 // engineSpec returns the specification of a group's engines, or false if the group has none.
-func (v *fleetView) engineSpec(group string) (orders.Spec, bool) {
+func (v *fleetView) engineSpec(group string) (orders.EngineSpec, bool) {
 	rules := v.rules.Load()
 	if rules == nil || rules.Bundle.Groups[group].Engine == nil {
-		return orders.Spec{}, false
+		return orders.EngineSpec{}, false
 	}
 	g := rules.Bundle.Groups[group]
-	return orders.Spec{
-		Places: g.Engine.MaxAdapters, Slots: g.Engine.Slots, CacheTokens: g.Engine.CacheTokens, Model: g.Model, ModelLoad: g.Engine.ModelLoad,
+	return orders.EngineSpec{
+		AdapterSlots: g.Engine.MaxAdapters, RequestSlots: g.Engine.Slots, CacheTokens: g.Engine.CacheTokens, Model: g.Model, ModelLoad: g.Engine.ModelLoad,
 	}, true
 }
 
--- a/pkg/gatewayd/gatewayd.go
+++ b/pkg/gatewayd/gatewayd.go
@@ -26,24 +26,24 @@
 	// Operator is the feed of the rows that the operator writes, Endpoints the feed of the rows that endpoints
 	// report about themselves.
 	Operator, Endpoints platform.Feed
-	// Fleet is mallowlink's own table, shared by all VMs. It holds the leases and the suspect requests.
-	Fleet follow.FeedTable
+	// FleetTable is mallowlink's own table, shared by all VMs. It holds the leases and the suspect requests.
+	FleetTable follow.FeedTable
 	// DecodeOperator decodes a row written by the operator.
 	DecodeOperator func(key string, data []byte) (OperatorRow, error)
 	// DecodeEndpoint decodes a row reported by an endpoint.
 	DecodeEndpoint func(key string, data []byte) (roster.Endpoint, error)
 	Dialect        dialect.Dialect
-	// Engines returns the engines' control API, called over client.
-	Engines func(client *upstream.Client) engine.Engines
-	// Probes returns a prober that checks over client whether endpoints are alive. groups returns an endpoint
+	// NewEngines returns the engines' control API, called over client.
+	NewEngines func(client *upstream.Client) engine.Engines
+	// NewProber returns a prober that checks over client whether endpoints are alive. groups returns an endpoint
 	// group's configuration.
-	Probes func(client *upstream.Client, groups func(name string) (bundle.Group, bool)) suspect.Prober
+	NewProber func(client *upstream.Client, groups func(name string) (bundle.Group, bool)) suspect.Prober
 }
 
 // OperatorRow is the content of one row written by the operator. A field is nil if the row does not contain it.
 type OperatorRow struct {
-	Config  *bundle.Bundle
-	Version *roster.Adapter
+	Config         *bundle.Bundle
+	AdapterVersion *roster.Adapter
 }
 
 // Connect returns clients of the platform's services at the addresses in the settings.
--- a/pkg/gatewayd/process.go
+++ b/pkg/gatewayd/process.go
@@ -15,8 +15,8 @@
 	"go.uber.org/fx"
 
 	"github.com/mallowlink/mallowlink/pkg/admin"
-	"github.com/mallowlink/mallowlink/pkg/callers"
 	"github.com/mallowlink/mallowlink/pkg/clock"
+	"github.com/mallowlink/mallowlink/pkg/connlimit"
 	"github.com/mallowlink/mallowlink/pkg/dispatch"
 	"github.com/mallowlink/mallowlink/pkg/eventlog"
 	"github.com/mallowlink/mallowlink/pkg/gateway"
@@ -46,7 +46,7 @@
 // servers holds the HTTP servers of the process.
 type servers struct {
 	callers, readiness, metrics *http.Server
-	callerWatch                 *callers.Watch
+	callerWatch                 *connlimit.TimeoutEnforcer
 	process                     atomic.Pointer[process]
 }
 
@@ -57,7 +57,7 @@
 	// callerWatch enforces the limits on headers and idle connections, because those of the configuration in
 	// force may change while the server runs.
 	s.callers = &http.Server{Handler: g, MaxHeaderBytes: defaultHeaderBytes}
-	s.callerWatch = callers.NewWatch(s.callers)
+	s.callerWatch = connlimit.NewTimeoutEnforcer(s.callers)
 	s.readiness = &http.Server{Handler: router, ReadHeaderTimeout: defaultHeaderTimeout}
 	s.metrics = &http.Server{
 		Handler:           admin.NewHandler(s.dumpState, registry),
@@ -136,7 +136,7 @@
 	p.startHTTPServer("readiness", p.components.Servers.readiness, p.components.Listeners.readiness)
 	p.startHTTPServer("metrics", p.components.Servers.metrics, p.components.Listeners.metrics)
 	maxConns := max(p.components.Settings.Limits.Descriptors-reservedDescriptors, reservedDescriptors)
-	p.startHTTPServer("callers", p.components.Servers.callers, callers.Limit(p.components.Listeners.callers, maxConns, p.components.Metrics))
+	p.startHTTPServer("callers", p.components.Servers.callers, connlimit.LimitListener(p.components.Listeners.callers, maxConns, p.components.Metrics))
 	p.components.Log.WithFields(logrus.Fields{
 		"event": "started", "incarnation": p.components.ID.incarnation,
 		"callers": p.components.Settings.Listen.Callers, "peer": p.components.Settings.Listen.Peer,
@@ -169,13 +169,13 @@
 func (p *process) sweep(ctx context.Context) {
 	clock.Every(ctx, sweepInterval, func(now time.Time) {
 		p.components.Outbound.pools.Sweep(now)
-		p.components.Servers.callerWatch.Sweep(p.callerTimeouts(), now)
+		p.components.Servers.callerWatch.CloseExpired(p.callerTimeouts(), now)
 	})
 }
 
 // callerTimeouts returns the timeouts for callers that the configuration in force sets, or the defaults.
-func (p *process) callerTimeouts() callers.Patience {
-	patience := callers.Patience{Header: defaultHeaderTimeout, Idle: defaultIdleTimeout}
+func (p *process) callerTimeouts() connlimit.Timeouts {
+	patience := connlimit.Timeouts{Header: defaultHeaderTimeout, Idle: defaultIdleTimeout}
 	rules := p.components.View.rules.Load()
 	if rules == nil {
 		return patience
--- a/pkg/gatewayd/reload.go
+++ b/pkg/gatewayd/reload.go
@@ -127,7 +127,7 @@
 	restartOnly("store", func(s *Settings) *string { return &s.Store }),
 	restartOnly("descriptors", func(s *Settings) *int { return &s.Limits.Descriptors }),
 	restartOnly("cores", func(s *Settings) *float64 { return &s.Limits.Cores }),
-	restartOnly("order_turns", func(s *Settings) *time.Duration { return &s.Bounds.OrderTurns }),
+	restartOnly("order_turns", func(s *Settings) *time.Duration { return &s.Bounds.MinOrderGap }),
 	restartOnly("retries", func(s *Settings) *RetryBounds { return &s.Bounds.Retry }),
 	restartOnly("quota", func(s *Settings) *QuotaBounds { return &s.Bounds.Quota }),
 }
--- a/pkg/gatewayd/reload_test.go
+++ b/pkg/gatewayd/reload_test.go
@@ -15,7 +15,7 @@
 		VM: "a", FailureDomain: "d", Store: "1.2.3.4:5", Listen: Listen{Callers: "x", Readiness: "y", Peer: "z", Metrics: "m"},
 		Limits: Limits{MemoryBytes: 300 << 20, Descriptors: 4000, Cores: 0.4},
 		Bounds: Bounds{
-			KeyWithdrawal: 5 * time.Second, Grace: 8 * time.Second, OrderTurns: 3 * time.Second,
+			KeyWithdrawal: 5 * time.Second, Grace: 8 * time.Second, MinOrderGap: 3 * time.Second,
 			Retry: RetryBounds{Share: 0.2, Reserve: 54, Window: 10 * time.Second},
 			Quota: QuotaBounds{Overage: 0.1, Slack: 1000, Window: 8 * time.Second},
 		},
--- a/pkg/gatewayd/settings.go
+++ b/pkg/gatewayd/settings.go
@@ -58,11 +58,11 @@
 	KeyWithdrawal time.Duration
 	// Grace is the time between SIGTERM and SIGKILL.
 	Grace time.Duration
-	// OrderTurns is the minimum time between orders of two different VMs to the same endpoint. It is also the
+	// MinOrderGap is the minimum time between orders of two different VMs to the same endpoint. It is also the
 	// duration of a lease.
-	OrderTurns time.Duration
-	Retry      RetryBounds
-	Quota      QuotaBounds
+	MinOrderGap time.Duration
+	Retry       RetryBounds
+	Quota       QuotaBounds
 }
 
 // RetryBounds limit the retries that all VMs together may make to an endpoint group within Window: to Share of
--- a/pkg/gatewayd/state.go
+++ b/pkg/gatewayd/state.go
@@ -64,7 +64,7 @@
 	Group    string `json:"group"`
 	Address  string `json:"address"`
 	Draining bool   `json:"draining"`
-	dispatch.Condition
+	dispatch.HealthStatus
 }
 
 // state returns the dump of the process's state.
@@ -85,12 +85,12 @@
 		}
 	}
 	for _, m := range coord.stewards.Members() {
-		s.VMs = append(s.VMs, VMState{VM: m.ID, Address: m.PeerAddress, Gone: m.Gone, Silent: formatDuration(m.Silent)})
+		s.VMs = append(s.VMs, VMState{VM: m.ID, Address: m.PeerAddress, Gone: m.Gone, Silent: formatDuration(m.SilentFor)})
 	}
 	for _, e := range view.roster.View().All() {
 		s.Endpoints = append(s.Endpoints, EndpointState{
 			Endpoint: e.ID, Group: e.Group, Address: e.Address, Draining: e.Draining,
-			Condition: p.components.Dispatcher.Condition(e.Incarnation),
+			HealthStatus: p.components.Dispatcher.HealthStatus(e.Incarnation),
 		})
 	}
 	return s
--- a/pkg/gatewayd/stewards.go
+++ b/pkg/gatewayd/stewards.go
@@ -40,7 +40,7 @@
 	table     rowLister
 	members   *membership.Registry
 	leases    *lease.Manager
-	updateLog *relay.Board
+	updateLog *relay.UpdateLog
 	log       logrus.FieldLogger
 
 	mu sync.RWMutex
@@ -307,7 +307,7 @@
 	for id, vm := range s.vms {
 		m := membership.Member{ID: id, Incarnation: vm.Incarnation, PeerAddress: vm.Address}
 		if vm.Silent {
-			m.Silent = vmExpiry
+			m.SilentFor = vmExpiry
 		}
 		byID[id] = m
 	}
--- a/pkg/gatewayd/storereader.go
+++ b/pkg/gatewayd/storereader.go
@@ -35,7 +35,7 @@
 type storeReader struct {
 	platform            Platform
 	view                *fleetView
-	updateLog           *relay.Board
+	updateLog           *relay.UpdateLog
 	stewards            *stewardSet
 	log                 logrus.FieldLogger
 	operator, endpoints *follow.Follower
@@ -49,13 +49,13 @@
 	lapsed map[string]roster.Endpoint
 }
 
-func newStoreReader(p Platform, view *fleetView, updates *relay.Board, s *stewardSet, log logrus.FieldLogger) *storeReader {
+func newStoreReader(p Platform, view *fleetView, updates *relay.UpdateLog, s *stewardSet, log logrus.FieldLogger) *storeReader {
 	r := &storeReader{platform: p, view: view, updateLog: updates, stewards: s, log: log, lapsed: map[string]roster.Endpoint{}}
 	r.operator = follow.New(follow.Config{
-		Name: "operator", Feed: p.Operator, Wait: operatorLongPoll, Changed: r.onOperatorRows, Log: log,
+		Name: "operator", Feed: p.Operator, Wait: operatorLongPoll, OnChange: r.onOperatorRows, Log: log,
 	})
 	r.endpoints = follow.New(follow.Config{
-		Name: "endpoints", Feed: p.Endpoints, Pause: endpointsPollInterval, Changed: r.onEndpointRows, Log: log,
+		Name: "endpoints", Feed: p.Endpoints, Pause: endpointsPollInterval, OnChange: r.onEndpointRows, Log: log,
 	})
 	return r
 }
@@ -142,7 +142,7 @@
 // lapsedEndpoints returns the endpoints that are missing from the list but are kept, because the store has
 // recently recovered from an outage. The caller holds r.mu.
 func (r *storeReader) lapsedEndpoints(list []roster.Endpoint, now time.Time) []roster.Endpoint {
-	until := r.endpoints.Returned().Add(lapseGrace)
+	until := r.endpoints.RecoveredAt().Add(lapseGrace)
 	if now.After(until) {
 		clear(r.lapsed)
 		return nil
--- a/pkg/gatewayd/updates.go
+++ b/pkg/gatewayd/updates.go
@@ -103,7 +103,7 @@
 			d.VMs = append(d.VMs, vm)
 		}
 	}
-	lease.OrderVMs(d.VMs)
+	lease.SortVMs(d.VMs)
 	a.stewards.setDirectory(d)
 }
 
--- a/pkg/gatewayd/wiring.go
+++ b/pkg/gatewayd/wiring.go
@@ -128,8 +128,8 @@
 	dials := metrics.GetOrRegisterCounter(metricDials, registry)
 	leaving := metrics.GetOrRegisterCounter(metricLeaving, registry)
 	return outbound{pools: pools, client: upstream.NewClient(pools, p.Dialect, upstream.Events{
-		Dialed: func() { dials.Inc(1) },
-		Leaving: func(target upstream.Target) {
+		OnDial: func() { dials.Inc(1) },
+		OnLeaving: func(target upstream.Target) {
 			if view.recordLeaving(roster.Incarnation{ID: target.ID, Started: target.Started}) {
 				leaving.Inc(1)
 			}
@@ -169,7 +169,7 @@
 	table *follow.Mirror
 }
 
-func newCoordination(s Settings, id identity, p Platform, view *fleetView, updates *relay.Board, pp peers, log logrus.FieldLogger) coordination {
+func newCoordination(s Settings, id identity, p Platform, view *fleetView, updates *relay.UpdateLog, pp peers, log logrus.FieldLogger) coordination {
 	members := membership.New(membership.Config{
 		ID:            id.vm,
 		Incarnation:   id.incarnation,
@@ -177,7 +177,7 @@
 		PeerAddress:   s.Listen.peerAddress(),
 	}, nil, pp.pool, log)
 	subscribers := &leaseListeners{}
-	table := follow.NewMirror(p.Fleet)
+	table := follow.NewMirror(p.FleetTable)
 	stewards := &stewardSet{
 		self: relay.VM{
 			ID: id.vm, Incarnation: id.incarnation, Address: s.Listen.peerAddress(),
@@ -192,8 +192,8 @@
 		Capacity:    s.Limits.Cores,
 		ListPeriod:  leaseListInterval,
 		Period:      leaseRenewInterval,
-		Duration:    s.Bounds.OrderTurns,
-		Listed:      stewards.publishDirectory,
+		Duration:    s.Bounds.MinOrderGap,
+		OnListed:    stewards.publishDirectory,
 		Note:        func(name string) []byte { return subscribers.note(name) },
 		Names:       func() []string { return leaseNames(view) },
 	}, table, members, pp.pool, subscribers, log)
@@ -245,7 +245,7 @@
 // accounts whose leases this VM holds, holder spends the tokens that this VM has obtained.
 type allowances struct {
 	home   *allowance.Home
-	holder *allowance.Holder
+	holder *allowance.Limiter
 }
 
 func newAllowances(s Settings, bg background, id identity, coord coordination, view *fleetView, pp peers, log logrus.FieldLogger) allowances {
@@ -254,7 +254,7 @@
 		Policy: policy, Limits: view.accountLimit, Lessor: coord.stewards, Fleet: coord.stewards,
 		Caller: pp.pool, Log: log,
 	})
-	holder := allowance.NewHolder(bg, allowance.HolderConfig{
+	holder := allowance.NewLimiter(bg, allowance.LimiterConfig{
 		Self: id.vm, Incarnation: id.incarnation, Started: id.started, FirstStart: s.FirstStart, Policy: policy, Limits: view.accountLimit,
 		Home: home, Lessor: coord.stewards, Fleet: coord.stewards, Caller: pp.pool, Log: log,
 	})
@@ -263,18 +263,18 @@
 
 func newOrders(s Settings, bg background, id identity, p Platform, coord coordination, view *fleetView, out outbound, pp peers, registry metrics.Registry, log logrus.FieldLogger) *orders.Service {
 	return orders.NewService(bg, orders.Config{
-		Self:    id.vm,
-		Leases:  coord.stewards,
-		Engines: p.Engines(out.client),
-		Roster:  view.roster,
-		Spec:    view.engineSpec,
-		Newest:  view.newestVersion,
-		Address: coord.stewards.peerAddress,
-		Caller:  pp.pool,
-		Turns:   s.Bounds.OrderTurns,
-		Started: id.started,
-		Metrics: registry,
-		Log:     log,
+		Self:        id.vm,
+		Leases:      coord.stewards,
+		Engines:     p.NewEngines(out.client),
+		Roster:      view.roster,
+		Spec:        view.engineSpec,
+		Newest:      view.newestVersion,
+		Address:     coord.stewards.peerAddress,
+		Caller:      pp.pool,
+		MinOrderGap: s.Bounds.MinOrderGap,
+		Started:     id.started,
+		Metrics:     registry,
+		Log:         log,
 	})
 }
 
@@ -286,8 +286,8 @@
 		Roster:        view.roster,
 		Orders:        o,
 		Leases:        coord.stewards,
-		Caller:        pp.pool,
-		Engines:       p.Engines(out.client),
+		Peers:         pp.pool,
+		Engines:       p.NewEngines(out.client),
 		RosterAge:     view.endpointsAge,
 		Newest:        view.newestVersion,
 		Metrics:       registry,
@@ -297,19 +297,19 @@
 
 // suspects holds the components that keep requests that crash endpoints from being sent to further endpoints.
 type suspects struct {
-	detector *suspect.Watch
-	syncer   *suspect.Share
-	store    *suspect.Rows
+	detector *suspect.Detector
+	syncer   *suspect.Syncer
+	store    *suspect.Store
 }
 
 func newSuspects(bg background, id identity, p Platform, coord coordination, view *fleetView, out outbound, pp peers, registry metrics.Registry, log logrus.FieldLogger) suspects {
 	table := suspect.NewTable(suspect.DirectLimits())
-	syncer := suspect.NewShare(id.vm, table, pp.pool, coord.stewards.Members, log)
-	detector := suspect.NewWatch(bg, suspect.WatchConfig{
-		Table: table, Prober: p.Probes(out.client, view.group), Listed: view.listing, Told: syncer.Wake, Metrics: registry, Log: log,
+	syncer := suspect.NewSyncer(id.vm, table, pp.pool, coord.stewards.Members, log)
+	detector := suspect.NewDetector(bg, suspect.DetectorConfig{
+		Table: table, Prober: p.NewProber(out.client, view.group), Listed: view.listing, OnChange: syncer.Wake, Metrics: registry, Log: log,
 	})
-	syncer.Follow(detector)
-	return suspects{detector: detector, syncer: syncer, store: suspect.NewRows(syncer, coord.table)}
+	syncer.Attach(detector)
+	return suspects{detector: detector, syncer: syncer, store: suspect.NewStore(syncer, coord.table)}
 }
 
 // run shares crash reports with other VMs and with the store until ctx ends.
@@ -364,20 +364,20 @@
 	return view.rulesAge().Seconds() < keyValidityShare*bounds.KeyWithdrawal.Seconds()
 }
 
-func newUpdateLog(id identity) *relay.Board { return relay.NewBoard(id.incarnation) }
+func newUpdateLog(id identity) *relay.UpdateLog { return relay.NewUpdateLog(id.incarnation) }
 
-func newRelay(bg background, p Platform, view *fleetView, updates *relay.Board, coord coordination, pp peers, log logrus.FieldLogger) *relay.Node {
+func newRelay(bg background, p Platform, view *fleetView, updates *relay.UpdateLog, coord coordination, pp peers, log logrus.FieldLogger) *relay.Node {
 	return relay.New(bg, relay.Config{
-		Self:     coord.stewards.self,
-		Board:    updates,
-		Reader:   newStoreReader(p, view, updates, coord.stewards, log),
-		Caller:   pp.pool,
-		Stewards: coord.stewards.list,
-		Fleet:    coord.stewards.vmCount,
-		Look:     coord.stewards.readDirectory,
-		Present:  coord.stewards.recordVM,
-		Apply:    newUpdateApplier(view, coord.stewards, log).apply,
-		Log:      log,
+		Self:         coord.stewards.self,
+		UpdateLog:    updates,
+		Reader:       newStoreReader(p, view, updates, coord.stewards, log),
+		Caller:       pp.pool,
+		Stewards:     coord.stewards.list,
+		FleetSize:    coord.stewards.vmCount,
+		ReadStewards: coord.stewards.readDirectory,
+		OnVMChange:   coord.stewards.recordVM,
+		Apply:        newUpdateApplier(view, coord.stewards, log).apply,
+		Log:          log,
 	})
 }
 
@@ -432,7 +432,7 @@
 // each other: gained and lost leases are forwarded to every component that acts under leases, changes of the
 // fleet view to the orders and the leases, and changes of the membership to the leases.
 func connectComponents(coord coordination, view *fleetView, o *orders.Service, a allowances, d *dispatch.Dispatcher, p *process) {
-	view.onEndpointRead = d.Seen
+	view.onEndpointRead = d.RecordLoaded
 	coord.leaseListeners.listeners = []lease.Listener{o, a.home}
 	coord.leaseListeners.note = a.home.Note
 	coord.members.SetStatus(func() membership.Status {
--- a/pkg/gatewayd/wiring_test.go
+++ b/pkg/gatewayd/wiring_test.go
@@ -22,7 +22,7 @@
 	r := newRetryLimiter(RetryBounds{Share: 0.2, Reserve: reserve, Window: 10 * time.Second}, &members)
 	retries := func() int {
 		n := 0
-		for window := r.window("g"); window.Repeat(time.Unix(1_700_000_000, 0)) && n < 100; n++ {
+		for window := r.window("g"); window.AllowRetry(time.Unix(1_700_000_000, 0)) && n < 100; n++ {
 		}
 		return n
 	}
--- a/pkg/inifile/inifile_test.go
+++ b/pkg/inifile/inifile_test.go
@@ -34,11 +34,11 @@
 	a.Duration("time", 0, 0, time.Hour)
 	a.Bytes("size", 0, 0, 1)
 	a.Required("gone")
-	a.Done()
+	a.ReportUnknownKeys()
 	require.Equal(t, 5.0, c.Rate("rate", 0, 0, 10))
-	c.Word("word", "y", "y", "z")
+	c.Enum("word", "y", "y", "z")
 	c.List("list")
-	c.Done()
+	c.ReportUnknownKeys()
 	require.EqualError(t, report.Err(), `f.ini:1: stray: key outside a section
 f.ini:3: [a] gone: missing key
 f.ini:4: [a] time: "5" is not a duration with unit, such as 500ms, 30s or 10m
--- a/pkg/inifile/section.go
+++ b/pkg/inifile/section.go
@@ -32,9 +32,9 @@
 	requested bool
 }
 
-// Kind splits the section's name at the first space into a kind and a name, as in [group north]. The
+// SplitName splits the section's name at the first space into a kind and a name, as in [group north]. The
 // name is empty if there is no space.
-func (s *Section) Kind() (kind, name string) {
+func (s *Section) SplitName() (kind, name string) {
 	kind, name, _ = strings.Cut(s.Name, " ")
 	return kind, strings.TrimSpace(name)
 }
@@ -63,8 +63,8 @@
 	})
 }
 
-// Done reports as unknown every key whose value has not been requested.
-func (s *Section) Done() {
+// ReportUnknownKeys reports as unknown every key whose value has not been requested.
+func (s *Section) ReportUnknownKeys() {
 	for i := range s.entries {
 		if e := &s.entries[i]; !e.requested {
 			s.Fail(e.name, "unknown key")
@@ -106,9 +106,9 @@
 	return s.String(key, "")
 }
 
-// Word returns the key's value, which must be one of the options, or fallback if the key is absent or its
+// Enum returns the key's value, which must be one of the options, or fallback if the key is absent or its
 // value is invalid.
-func (s *Section) Word(key, fallback string, options ...string) string {
+func (s *Section) Enum(key, fallback string, options ...string) string {
 	v, ok := s.value(key)
 	if !ok {
 		return fallback
@@ -195,7 +195,7 @@
 
 // Bool returns true or false, or fallback if the key is absent or its value is invalid.
 func (s *Section) Bool(key string, fallback bool) bool {
-	return s.Word(key, strconv.FormatBool(fallback), "true", "false") == "true"
+	return s.Enum(key, strconv.FormatBool(fallback), "true", "false") == "true"
 }
 
 // Int returns an integer from low to high, or fallback if the key is absent or its value is invalid.
--- a/pkg/lease/directory.go
+++ b/pkg/lease/directory.go
@@ -45,7 +45,7 @@
 			d.Holders[strings.TrimPrefix(row.Key, leasePrefix)] = l.toHolder()
 		}
 	}
-	OrderVMs(d.VMs)
+	SortVMs(d.VMs)
 	return d
 }
 
@@ -72,7 +72,7 @@
 			d.Holders[name] = l.toHolder()
 		}
 	}
-	OrderVMs(d.VMs)
+	SortVMs(d.VMs)
 	return d
 }
 
@@ -84,9 +84,9 @@
 	return Holder{VM: l.Holder, Incarnation: l.Incarnation, Address: l.Address, Fencing: l.Fencing}
 }
 
-// OrderVMs sorts the VMs so that all VMs of the fleet get the same order: VMs that do not drain come first, then
+// SortVMs sorts the VMs so that all VMs of the fleet get the same order: VMs that do not drain come first, then
 // those of higher capacity, then by the hash of the ID.
-func OrderVMs(vms []SessionVM) {
+func SortVMs(vms []SessionVM) {
 	slices.SortFunc(vms, func(a, b SessionVM) int {
 		if a.Draining != b.Draining {
 			if a.Draining {
--- a/pkg/lease/guard.go
+++ b/pkg/lease/guard.go
@@ -53,7 +53,7 @@
 	}
 	earliest := now
 	for _, s := range m.peers() {
-		answer, ok := m.fleet.Answer(s.VM, s.Incarnation)
+		answer, ok := m.fleet.LastReply(s.VM, s.Incarnation)
 		if !ok || !answer.Beat.Status.StoreDown {
 			return time.Time{}, false
 		}
@@ -98,7 +98,7 @@
 func (m *Manager) highestClaim(name string, includeGone bool) uint64 {
 	highest := uint64(0)
 	for vm, s := range m.sessions {
-		answer, ok := m.fleet.Answer(vm, s.Incarnation)
+		answer, ok := m.fleet.LastReply(vm, s.Incarnation)
 		if !ok || !includeGone && m.fleet.Gone(vm, s.Incarnation) {
 			continue
 		}
@@ -141,7 +141,7 @@
 // m.mu is held.
 func (m *Manager) leaseRowsStale() bool {
 	for _, s := range m.peers() {
-		answer, ok := m.fleet.Answer(s.VM, s.Incarnation)
+		answer, ok := m.fleet.LastReply(s.VM, s.Incarnation)
 		if !ok || answer.Beat.Status.LeaseSeen > m.leaseVersionSeen {
 			return true
 		}
@@ -172,7 +172,7 @@
 func (m *Manager) allAnsweredSince(since, now time.Time) (time.Time, bool) {
 	earliest := now
 	for _, s := range m.peers() {
-		answer, ok := m.fleet.Answer(s.VM, s.Incarnation)
+		answer, ok := m.fleet.LastReply(s.VM, s.Incarnation)
 		if !ok || !answer.Sent.After(since) {
 			return time.Time{}, false
 		}
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -24,8 +24,8 @@
 	Name string
 	// Fencing increases with every change of holder.
 	Fencing uint64
-	// First says that no VM has held the lease before.
-	First bool
+	// NeverHeldBefore says that no VM has held the lease before.
+	NeverHeldBefore bool
 	// PreviousProvenGone says that every earlier holder has handed over or is proven gone, so that none
 	// of their orders can still arrive.
 	PreviousProvenGone bool
@@ -45,8 +45,8 @@
 	Fencing     uint64
 }
 
-// Lessor looks up which leases this VM holds and which VMs hold the others.
-type Lessor interface {
+// View looks up which leases this VM holds and which VMs hold the others.
+type View interface {
 	// Held returns the grant if this VM holds the lease now. Held checks the monotonic clock: callers must call
 	// it right before each use of the lease.
 	Held(name string) (Grant, bool)
--- a/pkg/lease/manager.go
+++ b/pkg/lease/manager.go
@@ -34,8 +34,8 @@
 	Address     string
 	// Capacity is this VM's relative capacity for work, compared with other VMs.
 	Capacity float64
-	// Listed is called after the rows have been listed or written. It may be nil.
-	Listed func()
+	// OnListed is called after the rows have been listed or written. It may be nil.
+	OnListed func()
 	// Names returns the names of the leases that must always have a holder.
 	Names func() []string
 	// State returns the data to pass on to the next holder of a lease that is handed over. It is called
@@ -73,8 +73,8 @@
 	setDefault(&c.GuardInterval, DefaultGuardInterval)
 	setDefault(&c.RebalanceInterval, DefaultRebalanceInterval)
 	setDefault(&c.SessionRetention, DefaultSessionRetention)
-	if c.Listed == nil {
-		c.Listed = func() {}
+	if c.OnListed == nil {
+		c.OnListed = func() {}
 	}
 	if c.State == nil {
 		c.State = func(string) []byte { return nil }
@@ -95,16 +95,16 @@
 	Live() []membership.Member
 	// Gone reports whether the given incarnation of the VM is proven gone.
 	Gone(id, incarnation string) bool
-	// Answer returns the last response of the given incarnation to a heartbeat of this VM.
-	Answer(id, incarnation string) (membership.Answer, bool)
+	// LastReply returns the last response of the given incarnation to a heartbeat of this VM.
+	LastReply(id, incarnation string) (membership.Reply, bool)
 	// Claims returns the leases that the given incarnation last claimed.
 	Claims(id, incarnation string) []membership.Claim
 	// Announce notifies the other VMs at once of this VM's claims.
 	Announce()
-	// AskAll sends a heartbeat to every VM at once, including VMs that do not get one regularly from this VM.
-	AskAll()
-	// Learn records what the table shows of a VM.
-	Learn(seen membership.Sighting)
+	// AnnounceToAll sends a heartbeat to every VM at once, including VMs that do not get one regularly from this VM.
+	AnnounceToAll()
+	// RecordSession records what the table shows of a VM.
+	RecordSession(seen membership.SessionUpdate)
 }
 
 // Manager holds and claims leases for this VM. One goroutine reads and writes the table; another checks
@@ -114,7 +114,7 @@
 	cfg    Config
 	table  platform.Table
 	fleet  Fleet
-	caller peer.Caller
+	caller peer.Client
 	log    logrus.FieldLogger
 	events *notifier
 	wake   chan struct{}
@@ -178,7 +178,7 @@
 }
 
 // NewManager returns a manager. The listener is called, one call at a time, only while Run runs.
-func NewManager(cfg Config, table platform.Table, fleet Fleet, caller peer.Caller, listener Listener, log logrus.FieldLogger) *Manager {
+func NewManager(cfg Config, table platform.Table, fleet Fleet, caller peer.Client, listener Listener, log logrus.FieldLogger) *Manager {
 	cfg.setDefaults()
 	return &Manager{
 		cfg:             cfg,
@@ -221,7 +221,7 @@
 	wait := m.cfg.Period
 	if m.awaitingStartup(time.Now()) {
 		wait = min(wait, startupPeriod)
-		m.fleet.AskAll()
+		m.fleet.AnnounceToAll()
 	}
 	if until := time.Until(due); !due.IsZero() && until < wait {
 		wait = max(until, minTickInterval)
--- a/pkg/lease/plan.go
+++ b/pkg/lease/plan.go
@@ -41,7 +41,7 @@
 	return Grant{
 		Name:               c.name,
 		Fencing:            c.row.Fencing,
-		First:              c.version == 0,
+		NeverHeldBefore:    c.version == 0,
 		PreviousProvenGone: len(c.row.LingeringHolders) == 0,
 		State:              c.state,
 		Note:               c.note,
--- a/pkg/lease/tick.go
+++ b/pkg/lease/tick.go
@@ -32,7 +32,7 @@
 		return time.Time{}
 	}
 	written := m.commit(ctx, p)
-	m.cfg.Listed()
+	m.cfg.OnListed()
 	if listed && written {
 		m.markUp()
 	}
@@ -117,7 +117,7 @@
 		if vm == m.cfg.ID || s.over() || !s.malformed && m.fleet.Gone(vm, s.Incarnation) {
 			continue
 		}
-		answer, ok := m.fleet.Answer(vm, s.Incarnation)
+		answer, ok := m.fleet.LastReply(vm, s.Incarnation)
 		if s.malformed || !ok || !answer.Sent.After(m.upSince) || answer.Beat.Status.StoreDown {
 			list = append(list, vm)
 		}
@@ -167,7 +167,7 @@
 	sightings := m.sightings(now)
 	m.mu.Unlock()
 	for _, sighting := range sightings {
-		m.fleet.Learn(sighting)
+		m.fleet.RecordSession(sighting)
 	}
 	return true
 }
@@ -190,13 +190,13 @@
 }
 
 // sightings returns, for the membership registry, what the listing at now shows of the VMs. m.mu is held.
-func (m *Manager) sightings(now time.Time) []membership.Sighting {
-	var list []membership.Sighting
+func (m *Manager) sightings(now time.Time) []membership.SessionUpdate {
+	var list []membership.SessionUpdate
 	for vm, s := range m.sessions {
 		if s.Closed || s.malformed {
 			continue
 		}
-		list = append(list, membership.Sighting{
+		list = append(list, membership.SessionUpdate{
 			ID: vm, Incarnation: s.Incarnation, PeerAddress: s.Address,
 			Renewed: s.firstSeen.Equal(now) && !s.previousLastSeen.IsZero() && !s.Ended, Draining: s.Draining,
 		})
--- a/pkg/ledger/ledger.go
+++ b/pkg/ledger/ledger.go
@@ -108,7 +108,7 @@
 // the recorded response, or fails: with key-reused if the record is of a request with another body, with
 // unresolved while the outcome is unknown. It fails with store-down, outcome not-run, if the table service
 // does not respond.
-func (l *Ledger) Begin(ctx context.Context, key Key, bodyHash string, holder Holder) (*Handle, *Answer, error) {
+func (l *Ledger) Begin(ctx context.Context, key Key, bodyHash string, holder Holder) (*Handle, *Response, error) {
 	h := &Handle{key: key.rowKey(), record: record{Holder: holder, BodyHash: bodyHash, Written: time.Now().UTC()}}
 	err := l.write(ctx, h, 0, uuid.NewString())
 	if err == nil {
@@ -122,7 +122,7 @@
 
 // handleRepeat handles a request whose record exists. h holds the record that the request would have
 // written.
-func (l *Ledger) handleRepeat(ctx context.Context, h *Handle) (*Handle, *Answer, error) {
+func (l *Ledger) handleRepeat(ctx context.Context, h *Handle) (*Handle, *Response, error) {
 	row, err := l.get(ctx, h.key)
 	if errors.Is(err, platform.ErrNotFound) {
 		return nil, nil, l.unresolvedError("the record has just been released; send again")
@@ -145,7 +145,7 @@
 }
 
 // takeOver replaces the record of an earlier request if its owner proves that it has not run.
-func (l *Ledger) takeOver(ctx context.Context, h *Handle, row platform.Row, found record) (*Handle, *Answer, error) {
+func (l *Ledger) takeOver(ctx context.Context, h *Handle, row platform.Row, found record) (*Handle, *Response, error) {
 	age := time.Since(found.Written).Abs()
 	if age > proofWindow || !l.prover.ProveNotRun(ctx, found.Holder) {
 		return nil, nil, l.unresolvedError("an earlier request with this Idempotency-Key has no known end yet")
@@ -176,7 +176,7 @@
 
 // Complete records the response. It waits for the write up to recordWait; the write then continues in the
 // background, and until it is done a repeat on another VM fails with unresolved.
-func (l *Ledger) Complete(ctx context.Context, h *Handle, answer Answer) error {
+func (l *Ledger) Complete(ctx context.Context, h *Handle, answer Response) error {
 	kept := answer.withoutLargeBody()
 	h.record.Response = &kept
 	version, attempt := h.version, uuid.NewString()
--- a/pkg/ledger/ledger_test.go
+++ b/pkg/ledger/ledger_test.go
@@ -65,7 +65,7 @@
 		require.NoError(t, err)
 		require.Nil(t, recorded)
 		require.NoError(t, l.Rebind(t.Context(), h, holder("r1", 2)))
-		require.NoError(t, l.Complete(t.Context(), h, Answer{Status: 201, Body: []byte("done")}))
+		require.NoError(t, l.Complete(t.Context(), h, Response{Status: 201, Body: []byte("done")}))
 		require.Equal(t, 3, table.Writes())
 		_, recorded, err = newLedger(table, false).Begin(t.Context(), testRecord, "body", holder("r2", 1))
 		require.NoError(t, err)
@@ -132,7 +132,7 @@
 			return ledgertest.Down
 		}
 		start := time.Now()
-		require.NoError(t, l.Complete(t.Context(), h, Answer{Status: 200}))
+		require.NoError(t, l.Complete(t.Context(), h, Response{Status: 200}))
 		require.Equal(t, recordWait, time.Since(start), "the response must be held back for recordWait only")
 		time.Sleep(10 * time.Minute)
 		up.Store(true)
@@ -145,7 +145,7 @@
 	l := newLedger(ledgertest.New(), false)
 	h, _, err := l.Begin(t.Context(), testRecord, "body", holder("r1", 1))
 	require.NoError(t, err)
-	require.NoError(t, l.Complete(t.Context(), h, Answer{Status: 200, Body: make([]byte, MaxAnswerBytes+1)}))
+	require.NoError(t, l.Complete(t.Context(), h, Response{Status: 200, Body: make([]byte, MaxResponseBytes+1)}))
 	_, recorded, err := l.Begin(t.Context(), testRecord, "body", holder("r2", 1))
 	require.NoError(t, err)
 	require.True(t, recorded.Dropped)
@@ -159,7 +159,7 @@
 		h, _, err := l.Begin(t.Context(), Key{Name: fmt.Sprint(i)}, "body", holder("r", i))
 		require.NoError(t, err)
 		if i%2 == 0 {
-			require.NoError(t, l.Complete(t.Context(), h, Answer{Status: 200}))
+			require.NoError(t, l.Complete(t.Context(), h, Response{Status: 200}))
 		}
 	}
 	count := func(after time.Duration) int {
--- a/pkg/ledger/record.go
+++ b/pkg/ledger/record.go
@@ -23,9 +23,9 @@
 const (
 	// Prefix precedes the keys of all records.
 	Prefix = "ledger/"
-	// MaxAnswerBytes bounds the response body kept with a record. Of a response with a larger body only
+	// MaxResponseBytes bounds the response body kept with a record. Of a response with a larger body only
 	// the status and the header are recorded, and a repeat is told that the request has run.
-	MaxAnswerBytes = 64 << 10
+	MaxResponseBytes = 64 << 10
 	// AnsweredLifetime is how long the record of a request with a recorded response is kept.
 	AnsweredLifetime = 24 * time.Hour
 	// UnresolvedLifetime is how long the record of a request with an unknown outcome is kept.
@@ -61,8 +61,8 @@
 	Owner string `json:"owner"`
 }
 
-// Answer is a recorded response.
-type Answer struct {
+// Response is a recorded response.
+type Response struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
@@ -76,7 +76,7 @@
 	BodyHash string    `json:"body_hash"`
 	Written  time.Time `json:"written"`
 	// Response is nil until the request is known to have been answered.
-	Response *Answer `json:"answer,omitempty"`
+	Response *Response `json:"answer,omitempty"`
 }
 
 func (r record) expired(now time.Time) bool {
@@ -103,10 +103,10 @@
 	return r, nil
 }
 
-// withoutLargeBody returns the response, without its body if that is larger than MaxAnswerBytes.
-func (a Answer) withoutLargeBody() Answer {
-	if len(a.Body) > MaxAnswerBytes {
-		return Answer{Status: a.Status, Header: a.Header, Dropped: true}
+// withoutLargeBody returns the response, without its body if that is larger than MaxResponseBytes.
+func (a Response) withoutLargeBody() Response {
+	if len(a.Body) > MaxResponseBytes {
+		return Response{Status: a.Status, Header: a.Header, Dropped: true}
 	}
 	return a
 }
--- a/pkg/membership/heartbeat.go
+++ b/pkg/membership/heartbeat.go
@@ -30,7 +30,7 @@
 	err := r.caller.Call(ctx, target.PeerAddress, beatMethod, r.ownBeat(), &reply)
 	switch {
 	case err == nil && reply.ID == target.ID:
-		r.recordReply(Answer{Beat: reply, Sent: sent})
+		r.recordReply(Reply{Beat: reply, Sent: sent})
 	case errors.Is(err, peer.ErrRefused):
 		r.recordRefused(target)
 	case err != nil:
@@ -44,7 +44,7 @@
 }
 
 // recordReply records the reply to a heartbeat of this VM.
-func (r *Registry) recordReply(answer Answer) {
+func (r *Registry) recordReply(answer Reply) {
 	r.mu.Lock()
 	rec, changed := r.recordBeat(answer.Beat, answer.Sent)
 	if rec != nil && rec.member.Incarnation == answer.Beat.Incarnation {
--- a/pkg/membership/lookup.go
+++ b/pkg/membership/lookup.go
@@ -34,7 +34,7 @@
 	if m.Gone {
 		m.GoneFor = now.Sub(rec.goneAt)
 	}
-	m.Silent = now.Sub(rec.lastContact)
+	m.SilentFor = now.Sub(rec.lastContact)
 	return m
 }
 
@@ -44,7 +44,7 @@
 	live := members[:0]
 	for _, m := range members {
 		self := m.ID == r.cfg.ID
-		if !m.Draining && (self || !m.Gone && m.Silent <= r.cfg.BeatTimeout) {
+		if !m.Draining && (self || !m.Gone && m.SilentFor <= r.cfg.BeatTimeout) {
 			live = append(live, m)
 		}
 	}
@@ -78,14 +78,14 @@
 	return rec.claims
 }
 
-// Answer returns the last reply of the given incarnation of the VM to a heartbeat of this VM, and
+// LastReply returns the last reply of the given incarnation of the VM to a heartbeat of this VM, and
 // reports false if there is none.
-func (r *Registry) Answer(id, incarnation string) (Answer, bool) {
+func (r *Registry) LastReply(id, incarnation string) (Reply, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.records[id]
 	if rec == nil || rec.answer.Sent.IsZero() || rec.answer.Beat.Incarnation != incarnation {
-		return Answer{}, false
+		return Reply{}, false
 	}
 	return rec.answer, true
 }
--- a/pkg/membership/message.go
+++ b/pkg/membership/message.go
@@ -39,8 +39,8 @@
 	Fencing uint64
 }
 
-// Answer is the last reply of another VM to a heartbeat of this VM.
-type Answer struct {
+// Reply is the last reply of another VM to a heartbeat of this VM.
+type Reply struct {
 	Beat Beat
 	// Sent is when this VM sent the heartbeat. The reply was written later than that.
 	Sent time.Time
--- a/pkg/membership/observe.go
+++ b/pkg/membership/observe.go
@@ -8,8 +8,8 @@
 	"github.com/mallowlink/mallowlink/pkg/platform"
 )
 
-// Sighting is the state of a VM by its session row in the lease table.
-type Sighting struct {
+// SessionUpdate is the state of a VM by its session row in the lease table.
+type SessionUpdate struct {
 	ID          string
 	Incarnation string
 	PeerAddress string
@@ -18,9 +18,9 @@
 	Draining bool
 }
 
-// Learn records the state of a VM by its session row. In a fleet too large for heartbeats between all
+// RecordSession records the state of a VM by its session row. In a fleet too large for heartbeats between all
 // VMs, the rows are the only sign that most of the VMs are alive.
-func (r *Registry) Learn(seen Sighting) {
+func (r *Registry) RecordSession(seen SessionUpdate) {
 	if seen.ID == r.cfg.ID {
 		return
 	}
--- a/pkg/membership/record.go
+++ b/pkg/membership/record.go
@@ -23,7 +23,7 @@
 	goneAt time.Time
 	// incarnationKnownAt is when the present incarnation became known.
 	incarnationKnownAt time.Time
-	answer             Answer
+	answer             Reply
 	// goneIncarnations are the incarnations of the VM that are proven gone.
 	goneIncarnations map[string]bool
 	// beatInFlight says that a heartbeat to the VM has been sent and has not ended yet.
@@ -71,7 +71,7 @@
 // resetIncarnation discards what was known of the previous incarnation. It clears unlisted, because the
 // latest list may still be about the previous incarnation.
 func (rec *record) resetIncarnation() {
-	rec.answer = Answer{}
+	rec.answer = Reply{}
 	rec.claims = nil
 	rec.incarnationKnownAt = time.Now()
 	rec.unlisted = false
--- a/pkg/membership/registry.go
+++ b/pkg/membership/registry.go
@@ -63,7 +63,7 @@
 type Registry struct {
 	cfg    Config
 	lister platform.VMLister
-	caller peer.Caller
+	caller peer.Client
 	log    logrus.FieldLogger
 	// status and onChange are set before Run.
 	status   func() Status
@@ -79,7 +79,7 @@
 
 // New returns a registry that knows only this VM. Without a lister, the registry finds other VMs only
 // through Learn and their heartbeats.
-func New(cfg Config, lister platform.VMLister, caller peer.Caller, log logrus.FieldLogger) *Registry {
+func New(cfg Config, lister platform.VMLister, caller peer.Client, log logrus.FieldLogger) *Registry {
 	cfg.setDefaults()
 	return &Registry{
 		cfg:      cfg,
@@ -103,8 +103,8 @@
 	}
 }
 
-// AskAll sends heartbeats to every VM at once, not only to partners. It never blocks.
-func (r *Registry) AskAll() {
+// AnnounceToAll sends heartbeats to every VM at once, not only to partners. It never blocks.
+func (r *Registry) AnnounceToAll() {
 	r.nextToAll.Store(true)
 	r.Announce()
 }
--- a/pkg/membership/view.go
+++ b/pkg/membership/view.go
@@ -15,8 +15,8 @@
 	BundleVersion uint64
 	// StoreDown says that the VM last reported that the table service does not respond to it.
 	StoreDown bool
-	// Silent is the time since the last sign of life of the VM, by the clock of this VM.
-	Silent time.Duration
+	// SilentFor is the time since the last sign of life of the VM, by the clock of this VM.
+	SilentFor time.Duration
 	// Gone says that the VM is proven gone: it was on the platform's list and no longer is, its address
 	// refuses connections, or a newer incarnation responds there.
 	Gone bool
--- a/pkg/memory/budget.go
+++ b/pkg/memory/budget.go
@@ -24,8 +24,8 @@
 // SetLimit changes the limit. Bytes already reserved stay reserved, even if they exceed the new limit.
 func (b *Budget) SetLimit(limit int64) { b.limit.Store(limit) }
 
-// Take reserves n bytes. It reports false, and reserves nothing, if that would exceed the limit.
-func (b *Budget) Take(n int64) bool {
+// Reserve reserves n bytes. It reports false, and reserves nothing, if that would exceed the limit.
+func (b *Budget) Reserve(n int64) bool {
 	if b.used.Add(n) <= b.limit.Load() {
 		return true
 	}
@@ -33,8 +33,8 @@
 	return false
 }
 
-// Give releases n reserved bytes.
-func (b *Budget) Give(n int64) { b.used.Add(-n) }
+// Release releases n reserved bytes.
+func (b *Budget) Release(n int64) { b.used.Add(-n) }
 
 // Used returns the number of bytes reserved.
 func (b *Budget) Used() int64 { return b.used.Load() }
@@ -67,7 +67,7 @@
 	for {
 		if len(data) == cap(data) {
 			growth := max(first, int64(cap(data)))
-			if !b.Take(growth) {
+			if !b.Reserve(growth) {
 				return data, held, ErrExhausted
 			}
 			held += growth
--- a/pkg/memory/budget_test.go
+++ b/pkg/memory/budget_test.go
@@ -22,7 +22,7 @@
 			require.EqualValues(t, cap(data), held)
 			require.LessOrEqual(t, held, int64(max(2*size, initialBufferSize)))
 			require.Equal(t, held, b.Used())
-			b.Give(held)
+			b.Release(held)
 			require.Zero(t, b.Used())
 		}
 	}
@@ -36,12 +36,12 @@
 	require.ErrorIs(t, err, ErrExhausted)
 	require.NotEmpty(t, data, "the data read so far is returned")
 	require.LessOrEqual(t, held, int64(10_000))
-	b.Give(held)
+	b.Release(held)
 	_, held, err = b.ReadAll(large, -1, 1000)
 	require.ErrorIs(t, err, ErrTooLarge)
-	b.Give(held)
+	b.Release(held)
 	require.Zero(t, b.Used())
 	b.SetLimit(10)
-	require.False(t, b.Take(11))
-	require.True(t, b.Take(10))
+	require.False(t, b.Reserve(11))
+	require.True(t, b.Reserve(10))
 }
--- a/pkg/orders/message.go
+++ b/pkg/orders/message.go
@@ -75,7 +75,7 @@
 	Prefetch bool
 	// Ended contains the updates to the caller's permits since its last call: requests that have started or
 	// ended.
-	Ended []Notice
+	Ended []PermitUpdate
 }
 
 // AcquireReply is the reply to AcquireArgs.
@@ -96,8 +96,8 @@
 	Delay  time.Duration
 }
 
-// Notice reports to the owner of an engine that the request of a permit has started or ended.
-type Notice struct {
+// PermitUpdate reports to the owner of an engine that the request of a permit has started or ended.
+type PermitUpdate struct {
 	Permit uint64
 	// Started is set if the first token has arrived, and First is the time that it took.
 	Started bool
@@ -112,7 +112,7 @@
 type ReportArgs struct {
 	Caller      string
 	Incarnation string
-	Notices     []Notice
+	Notices     []PermitUpdate
 }
 
 // HandoverArgs asks the previous owner of an engine what it knows of the engine.
--- a/pkg/orders/orders_test.go
+++ b/pkg/orders/orders_test.go
@@ -133,12 +133,12 @@
 		f := &fixture{engines: &fakeEngines{loaded: map[string]time.Time{}}, lessor: &fakeLessor{held: true}, id: id}
 		f.s = NewService(ctx, Config{
 			Self: "vm1", Leases: f.lessor, Engines: f.engines, Roster: r,
-			Spec: func(string) (Spec, bool) {
-				return Spec{Places: adapterSlots, Slots: 8, CacheTokens: 10_000, Model: "base", ModelLoad: time.Second}, true
+			Spec: func(string) (EngineSpec, bool) {
+				return EngineSpec{AdapterSlots: adapterSlots, RequestSlots: 8, CacheTokens: 10_000, Model: "base", ModelLoad: time.Second}, true
 			},
 			Newest:  func(residency.Key) int { return 0 },
 			Address: func(string) (string, bool) { return "", false },
-			Caller:  unreachablePeers{}, Turns: 3 * time.Second, Started: time.Now(),
+			Caller:  unreachablePeers{}, MinOrderGap: 3 * time.Second, Started: time.Now(),
 			Metrics: metrics.NewRegistry(), Log: log,
 		})
 		test(f)
@@ -171,7 +171,7 @@
 }
 
 func (f *fixture) endPermit(permit uint64) {
-	_ = f.s.Report(&ReportArgs{Incarnation: "i", Notices: []Notice{{Permit: permit, Ended: true}}}, &ReportReply{})
+	_ = f.s.Report(&ReportArgs{Incarnation: "i", Notices: []PermitUpdate{{Permit: permit, Ended: true}}}, &ReportReply{})
 }
 
 // Requests that wait for the same adapter must share one load.
@@ -346,7 +346,7 @@
 		reply = f.acquire(args)
 		require.Equal(t, Offered, reply.Status)
 		require.Greater(t, reply.Delay, 200*time.Millisecond)
-		_ = f.s.Report(&ReportArgs{Incarnation: "i", Notices: []Notice{{Permit: big.Permit, Started: true, First: time.Second}}}, &ReportReply{})
+		_ = f.s.Report(&ReportArgs{Incarnation: "i", Notices: []PermitUpdate{{Permit: big.Permit, Started: true, First: time.Second}}}, &ReportReply{})
 		args = f.newArgs("a")
 		args.Bound = 100 * time.Millisecond
 		require.Equal(t, Granted, f.acquire(args).Status, "the prompt ahead has been processed")
--- a/pkg/orders/service.go
+++ b/pkg/orders/service.go
@@ -43,12 +43,12 @@
 	return leaseName(int(xxhash.Sum64String(endpoint) % LeaseCount))
 }
 
-// Spec describes the engines of an endpoint group.
-type Spec struct {
-	// Places is the number of adapters that an engine can hold at once.
-	Places int
-	// Slots is the number of requests that an engine can run at once.
-	Slots int
+// EngineSpec describes the engines of an endpoint group.
+type EngineSpec struct {
+	// AdapterSlots is the number of adapters that an engine can hold at once.
+	AdapterSlots int
+	// RequestSlots is the number of requests that an engine can run at once.
+	RequestSlots int
 	// CacheTokens is the size of an engine's prompt cache, in tokens.
 	CacheTokens int
 	// Model is the base model, and ModelLoad the time that it takes to load.
@@ -60,22 +60,22 @@
 type Config struct {
 	// Self is the identifier of this VM.
 	Self    string
-	Leases  lease.Lessor
+	Leases  lease.View
 	Engines engine.Engines
 	Roster  *roster.Roster
-	// Spec describes the engines of a group. It returns false for groups that have no engines.
-	Spec func(group string) (Spec, bool)
+	// EngineSpec describes the engines of a group. It returns false for groups that have no engines.
+	Spec func(group string) (EngineSpec, bool)
 	// Newest returns the newest version of an adapter that the operator has declared, or 0 if there is none.
 	Newest func(residency.Key) int
 	// Address returns the address at which a VM takes calls from other VMs, or false if it is not known.
 	Address func(vm string) (string, bool)
-	Caller  peer.Caller
-	// Turns is the minimum time between two orders of this VM to an engine if another VM owned the engine in
+	Caller  peer.Client
+	// MinOrderGap is the minimum time between two orders of this VM to an engine if another VM owned the engine in
 	// between. Started is when this process started; it does not know of orders sent before that.
-	Turns   time.Duration
-	Started time.Time
-	Metrics metrics.Registry
-	Log     logrus.FieldLogger
+	MinOrderGap time.Duration
+	Started     time.Time
+	Metrics     metrics.Registry
+	Log         logrus.FieldLogger
 }
 
 type meters struct {
@@ -140,7 +140,7 @@
 	if !ok {
 		last = s.cfg.Started
 	}
-	return last.Add(s.cfg.Turns + orderGapMargin)
+	return last.Add(s.cfg.MinOrderGap + orderGapMargin)
 }
 
 // LeaseLost implements lease.Listener.
@@ -188,7 +188,7 @@
 }
 
 // startWorker starts the worker of an engine. s.mu must be held.
-func (s *Service) startWorker(e roster.Endpoint, leaseName string, spec Spec) {
+func (s *Service) startWorker(e roster.Endpoint, leaseName string, spec EngineSpec) {
 	w := newWorker(s, e, leaseName, spec)
 	w.ordersFrom = s.leases[leaseName]
 	w.previousOwner = s.previousOwners[leaseName]
@@ -228,7 +228,7 @@
 	return nil
 }
 
-func (s *Service) applyUpdates(incarnation string, notices []Notice) {
+func (s *Service) applyUpdates(incarnation string, notices []PermitUpdate) {
 	if len(notices) == 0 {
 		return
 	}
--- a/pkg/orders/worker.go
+++ b/pkg/orders/worker.go
@@ -78,18 +78,18 @@
 	done  bool
 }
 
-func newWorker(s *Service, e roster.Endpoint, leaseName string, spec Spec) *worker {
+func newWorker(s *Service, e roster.Endpoint, leaseName string, spec EngineSpec) *worker {
 	return &worker{
 		service: s, endpoint: e, lease: leaseName, wake: make(chan struct{}, 1),
 		planner: residency.New(residency.Config{
 			Model:      spec.Model,
 			ModelLoad:  spec.ModelLoad,
-			Slots:      spec.Places,
+			Slots:      spec.AdapterSlots,
 			MaxLoading: residency.DefaultMaxLoading,
 			WarmCount:  residency.DefaultWarmCount,
 			Newest:     s.cfg.Newest,
 		}),
-		load:      newEngineLoad(spec.Slots, spec.CacheTokens),
+		load:      newEngineLoad(spec.RequestSlots, spec.CacheTokens),
 		waiters:   map[residency.Key][]*waiter{},
 		cancelled: map[permitKey]time.Time{},
 		model:     spec.Model,
@@ -493,7 +493,7 @@
 }
 
 // applyUpdate applies an update to a permit. It reports whether the permit is known.
-func (w *worker) applyUpdate(incarnation string, n Notice) bool {
+func (w *worker) applyUpdate(incarnation string, n PermitUpdate) bool {
 	now := time.Now()
 	key := permitKey{incarnation, n.Permit}
 	w.mu.Lock()
--- a/pkg/owner/directory.go
+++ b/pkg/owner/directory.go
@@ -12,13 +12,13 @@
 	vm          string
 	incarnation string
 	local       work.Owner
-	lessor      lease.Lessor
-	caller      peer.Caller
+	lessor      lease.View
+	caller      peer.Client
 }
 
 // NewDirectory returns a directory for the process with the given VM name and incarnation. For groups
 // that this process owns itself, OwnerOf returns local, which needs no network call.
-func NewDirectory(vm, incarnation string, local work.Owner, lessor lease.Lessor, caller peer.Caller) *Directory {
+func NewDirectory(vm, incarnation string, local work.Owner, lessor lease.View, caller peer.Client) *Directory {
 	return &Directory{vm: vm, incarnation: incarnation, local: local, lessor: lessor, caller: caller}
 }
 
--- a/pkg/owner/dispatch.go
+++ b/pkg/owner/dispatch.go
@@ -131,7 +131,7 @@
 }
 
 // open sends the call. If the attempt continues an existing stream, that stream is resumed instead.
-func (x *execution) open(ctx context.Context) (endpoint.Answer, error) {
+func (x *execution) open(ctx context.Context) (endpoint.Response, error) {
 	req := x.attempt.req
 	if req.Resume != nil {
 		x.nextEvent = req.Resume.Next
@@ -152,14 +152,14 @@
 
 // resumable reports whether a stream that failed with err can be resumed on the same engine.
 func (x *execution) resumable(ctx context.Context, err error) bool {
-	if !errors.Is(err, endpoint.ErrCut) || x.link.engine == nil || !x.attempt.req.Call.Stream {
+	if !errors.Is(err, endpoint.ErrTruncated) || x.link.engine == nil || !x.attempt.req.Call.Stream {
 		return false
 	}
 	return ctx.Err() == nil && !x.link.hasCrashed(ctx, x.incarnation)
 }
 
 // forward copies the response into the attempt's event log. It returns nil after the end marker.
-func (x *execution) forward(ctx context.Context, answer endpoint.Answer) error {
+func (x *execution) forward(ctx context.Context, answer endpoint.Response) error {
 	defer func() { _ = answer.Close() }()
 	if !x.responseStarted {
 		x.recordResponseStart(ctx, answer)
@@ -175,13 +175,13 @@
 		x.nextEvent++
 		x.chunks++
 		if !x.attempt.log.append(ctx, work.Event{Kind: work.Data, Data: data}) {
-			return errors.Wrap(endpoint.ErrCut, "the attempt ended")
+			return errors.Wrap(endpoint.ErrTruncated, "the attempt ended")
 		}
 	}
 }
 
 // recordResponseStart appends the events for the start of the response and for its status and header.
-func (x *execution) recordResponseStart(ctx context.Context, answer endpoint.Answer) {
+func (x *execution) recordResponseStart(ctx context.Context, answer endpoint.Response) {
 	x.responseStarted = true
 	x.attempt.log.append(ctx, work.Event{Kind: work.Started, Endpoint: x.link.spec.Name, EngineID: x.engineID()})
 	x.attempt.log.append(ctx, work.Event{Kind: work.Head, Status: answer.Status(), Header: answer.Header()})
@@ -266,7 +266,7 @@
 		Detail:   err.Error(),
 	}
 	switch {
-	case errors.Is(err, endpoint.ErrGone):
+	case errors.Is(err, endpoint.ErrNotFound):
 		failure.Detail = "the engine no longer knows the stream"
 	case errors.Is(err, endpoint.ErrMismatch):
 		x.runner.owner.meters.mismatched.Inc(1)
--- a/pkg/owner/fake_test.go
+++ b/pkg/owner/fake_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-func (f *fakeEngine) Do(ctx context.Context, req endpoint.Request) (endpoint.Answer, error) {
+func (f *fakeEngine) Do(ctx context.Context, req endpoint.Request) (endpoint.Response, error) {
 	f.mu.Lock()
 	down, hold := f.down, f.hold
 	f.mu.Unlock()
@@ -93,7 +93,7 @@
 	return &fakeAnswer{engine: f}, nil
 }
 
-func (f *fakeEngine) Resume(_ context.Context, _ string, next uint64) (endpoint.Answer, error) {
+func (f *fakeEngine) Resume(_ context.Context, _ string, next uint64) (endpoint.Response, error) {
 	return &fakeAnswer{engine: f, next: int(next)}, nil
 }
 
@@ -195,7 +195,7 @@
 		a.engine.crash()
 	}
 	if cut || crash {
-		return nil, endpoint.ErrCut
+		return nil, endpoint.ErrTruncated
 	}
 	if a.next == streamEvents {
 		return nil, io.EOF
--- a/pkg/owner/rpc.go
+++ b/pkg/owner/rpc.go
@@ -159,7 +159,7 @@
 
 // remote is a client of the work.Owner in one incarnation of another VM.
 type remote struct {
-	caller  peer.Caller
+	caller  peer.Client
 	address string
 	target  Target
 }
--- a/pkg/owner/runner.go
+++ b/pkg/owner/runner.go
@@ -174,7 +174,7 @@
 		go r.load(l, action)
 	case scheduler.Unload:
 		go r.unload(l, action.Adapter)
-	case scheduler.Role:
+	case scheduler.SetRole:
 		go r.setRole(l, action.Role)
 	case scheduler.Refuse:
 		if a, ok := r.owner.attempts.get(action.ID); ok {
--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -16,8 +16,8 @@
 	ErrUnreachable = errors.New("peer: unreachable")
 )
 
-// Caller calls RPC methods of other VMs.
-type Caller interface {
+// Client calls RPC methods of other VMs.
+type Client interface {
 	// Call invokes method (in net/rpc's form, "Service.Method") at the peer address.
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -23,7 +23,7 @@
 	t *testing.T
 	// mu guards limiters.
 	mu       sync.Mutex
-	limiters map[*fleettest.VM]*quota.Holder
+	limiters map[*fleettest.VM]*quota.Limiter
 	limit    quota.Limit
 }
 
@@ -32,7 +32,7 @@
 // attachQuota adds a home and a limiter for the quota to a VM.
 func (f *fleet) attachQuota(v *fleettest.VM) fleettest.Attachment {
 	home := quota.NewHome(v.Ctx, v.ID, v.Manager, v.Registry, v.Caller, f.limits, f.Log)
-	limiter := quota.NewHolder(v.Ctx, v.ID, v.Incarnation, home, v.Manager, v.Caller, f.limits)
+	limiter := quota.NewLimiter(v.Ctx, v.ID, v.Incarnation, home, v.Manager, v.Caller, f.limits)
 	f.mu.Lock()
 	f.limiters[v] = limiter
 	f.mu.Unlock()
@@ -50,7 +50,7 @@
 		f := &fleet{
 			Fleet:    fleettest.NewFleet(t.Context(), seed, []string{lease.AccountPrefix + account}),
 			t:        t,
-			limiters: map[*fleettest.VM]*quota.Holder{},
+			limiters: map[*fleettest.VM]*quota.Limiter{},
 			limit:    limit,
 		}
 		f.Attach = f.attachQuota
@@ -83,7 +83,7 @@
 }
 
 // limiter returns the limiter of a VM.
-func (f *fleet) limiter(v *fleettest.VM) *quota.Holder {
+func (f *fleet) limiter(v *fleettest.VM) *quota.Limiter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.limiters[v]
--- a/pkg/quota/home.go
+++ b/pkg/quota/home.go
@@ -50,12 +50,12 @@
 type Home struct {
 	ctx          context.Context
 	self         string
-	leases       lease.Lessor
+	leases       lease.View
 	members      MemberLister
-	caller       peer.Caller
+	caller       peer.Client
 	limits       LimitFunc
 	log          logrus.FieldLogger
-	localLimiter *Holder
+	localLimiter *Limiter
 
 	mu      sync.Mutex
 	buckets map[string]*homeBucket // by account, guarded by mu
@@ -78,7 +78,7 @@
 
 // NewHome returns a Home without buckets. The caller must pass lease events to its LeaseGained and LeaseLost,
 // and create the limiter of the same VM, which registers itself. Calls to other VMs stop when ctx is done.
-func NewHome(ctx context.Context, self string, leases lease.Lessor, members MemberLister, caller peer.Caller, limits LimitFunc, log logrus.FieldLogger) *Home {
+func NewHome(ctx context.Context, self string, leases lease.View, members MemberLister, caller peer.Client, limits LimitFunc, log logrus.FieldLogger) *Home {
 	return &Home{
 		ctx: ctx, self: self, leases: leases, members: members, caller: caller, limits: limits, log: log,
 		buckets: map[string]*homeBucket{}, releasedLevels: map[string]float64{},
@@ -158,7 +158,7 @@
 	defer h.mu.Unlock()
 	b := h.buckets[request.Account]
 	if b != nil && b.fencing == request.Fencing && !outOfRange(report.Held) {
-		b.Reported(vm, report.Incarnation, report.Held, now, now.Add(grantLifetime+clockDriftMargin))
+		b.RecordHeld(vm, report.Incarnation, report.Held, now, now.Add(grantLifetime+clockDriftMargin))
 	}
 }
 
@@ -176,7 +176,7 @@
 		return
 	}
 	delete(h.buckets, account)
-	if b.Settled() {
+	if b.AllReported() {
 		h.releasedLevels[name] = math.Floor(b.Level())
 	}
 }
@@ -261,11 +261,11 @@
 // Service handles the net/rpc calls of other VMs.
 type Service struct {
 	home    *Home
-	limiter *Holder
+	limiter *Limiter
 }
 
 // NewService returns the service to register with net/rpc under ServiceName.
-func NewService(home *Home, limiter *Holder) *Service { return &Service{home: home, limiter: limiter} }
+func NewService(home *Home, limiter *Limiter) *Service { return &Service{home: home, limiter: limiter} }
 
 // Grant handles a VM's request for tokens.
 func (s *Service) Grant(args *GrantRequest, reply *GrantReply) error {
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -30,27 +30,27 @@
 	noOwnerRetryAfter = time.Second
 )
 
-// Holder admits the requests that arrive at one VM. It spends tokens granted by the homes of the client
+// Limiter admits the requests that arrive at one VM. It spends tokens granted by the homes of the client
 // accounts and requests further ones as needed. It is safe for concurrent use.
-type Holder struct {
+type Limiter struct {
 	ctx  context.Context
 	self string
 	// incarnation distinguishes this process from earlier ones on the same VM.
 	incarnation string
 
 	home   *Home
-	leases lease.Lessor
-	caller peer.Caller
+	leases lease.View
+	caller peer.Client
 	limits LimitFunc
 
 	mu       sync.Mutex
 	accounts map[string]*account // guarded by mu
 }
 
-// NewHolder returns a limiter without tokens and registers it with home, the Home of the same VM. Calls and
+// NewLimiter returns a limiter without tokens and registers it with home, the Home of the same VM. Calls and
 // background work stop when ctx is done.
-func NewHolder(ctx context.Context, self, incarnation string, home *Home, leases lease.Lessor, caller peer.Caller, limits LimitFunc) *Holder {
-	h := &Holder{
+func NewLimiter(ctx context.Context, self, incarnation string, home *Home, leases lease.View, caller peer.Client, limits LimitFunc) *Limiter {
+	h := &Limiter{
 		ctx: ctx, self: self, incarnation: incarnation, home: home, leases: leases, caller: caller, limits: limits,
 		accounts: map[string]*account{},
 	}
@@ -59,7 +59,7 @@
 }
 
 // account returns the state of an account, and creates it on first use.
-func (h *Holder) account(name string) *account {
+func (h *Limiter) account(name string) *account {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := h.accounts[name]
@@ -72,7 +72,7 @@
 
 // Admit spends tokens of the account. If the VM has too few, Admit waits for further ones until the account
 // is known to be over its rate, the time to wait is used up, or ctx is done.
-func (h *Holder) Admit(ctx context.Context, name string, tokens int64) error {
+func (h *Limiter) Admit(ctx context.Context, name string, tokens int64) error {
 	limit, ok := h.limits(name)
 	if !ok {
 		return result.New(result.NotAllowed, "the client account is not in the bundle")
@@ -103,12 +103,12 @@
 
 // Return gives back unused tokens of a request whose time of admission is not known. It is taken to be
 // MaxRefundAge ago.
-func (h *Holder) Return(name string, tokens int64) {
+func (h *Limiter) Return(name string, tokens int64) {
 	h.ReturnSince(name, tokens, time.Now().Add(-MaxRefundAge))
 }
 
 // ReturnSince gives back unused tokens of a request that was admitted at the given time.
-func (h *Holder) ReturnSince(name string, tokens int64, admitted time.Time) {
+func (h *Limiter) ReturnSince(name string, tokens int64, admitted time.Time) {
 	if tokens <= 0 {
 		return
 	}
@@ -118,20 +118,20 @@
 }
 
 // fence records that an account has a new home and returns the balance of this VM.
-func (h *Holder) fence(req HeldRequest) HeldReply {
+func (h *Limiter) fence(req HeldRequest) HeldReply {
 	held := h.account(req.Account).fence(req.Fencing, time.Now())
 	return HeldReply{Incarnation: h.incarnation, Held: held}
 }
 
 // startFetchLoop starts the goroutine that requests tokens for the account, unless it is running.
-func (h *Holder) startFetchLoop(a *account) {
+func (h *Limiter) startFetchLoop(a *account) {
 	if a.startFetching() {
 		go h.fetchLoop(a)
 	}
 }
 
 // fetchLoop requests tokens from the account's home as long as requests wait for them.
-func (h *Holder) fetchLoop(a *account) {
+func (h *Limiter) fetchLoop(a *account) {
 	for h.ctx.Err() == nil {
 		pause, more := h.requestTokens(a, false)
 		if !more {
@@ -146,7 +146,7 @@
 
 // scheduleGiveBack starts a timer that, after idleReturnDelay without demand, gives unspent tokens back and
 // sends refunds to the home. The timer is restarted while there is something to give back or to report.
-func (h *Holder) scheduleGiveBack(a *account) {
+func (h *Limiter) scheduleGiveBack(a *account) {
 	if !a.armGiveBack() {
 		return
 	}
@@ -166,7 +166,7 @@
 
 // requestTokens makes one call to the home. It returns how long to pause before the next call and whether
 // requests still wait. If none wait, the account's fetching flag has been cleared.
-func (h *Holder) requestTokens(a *account, giveBack bool) (time.Duration, bool) {
+func (h *Limiter) requestTokens(a *account, giveBack bool) (time.Duration, bool) {
 	limit, _ := h.limits(a.name)
 	sent := clock.Now()
 	req, ok := a.nextRequest(sent, giveBack, limit)
@@ -183,7 +183,7 @@
 }
 
 // callHome sends the request to the account's home, which may be this VM.
-func (h *Holder) callHome(req GrantRequest) (GrantReply, error) {
+func (h *Limiter) callHome(req GrantRequest) (GrantReply, error) {
 	holder, ok := h.leases.HolderOf(lease.AccountPrefix + req.Account)
 	if !ok {
 		return GrantReply{NotHome: true}, nil
--- a/pkg/quota/measure_test.go
+++ b/pkg/quota/measure_test.go
@@ -265,7 +265,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{
 			Fleet: fleettest.NewFleet(t.Context(), seed, []string{lease.AccountPrefix + account}),
-			t:     t, limiters: map[*fleettest.VM]*quota.Holder{}, limit: measureLimit,
+			t:     t, limiters: map[*fleettest.VM]*quota.Limiter{}, limit: measureLimit,
 		}
 		f.Attach = f.attachQuota
 		defer f.Stop()
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -11,7 +11,7 @@
 	"github.com/mallowlink/mallowlink/pkg/result"
 )
 
-var _ quota.Returner = (*quota.Holder)(nil)
+var _ quota.Returner = (*quota.Limiter)(nil)
 
 var limit = quota.Limit{Rate: 100, Burst: 500}
 
--- a/pkg/quota/schedules_test.go
+++ b/pkg/quota/schedules_test.go
@@ -119,7 +119,7 @@
 		f := &fleet{
 			Fleet:    fleettest.NewFleet(t.Context(), seed, []string{lease.AccountPrefix + account}),
 			t:        t,
-			limiters: map[*fleettest.VM]*quota.Holder{},
+			limiters: map[*fleettest.VM]*quota.Limiter{},
 			limit:    quota.Limit{Rate: 20 + 200*rnd.Float64(), Burst: 60 + 600*rnd.Float64()},
 		}
 		l := &ledger{}
--- a/pkg/relay/node.go
+++ b/pkg/relay/node.go
@@ -66,21 +66,21 @@
 
 // Config holds the dependencies and callbacks of a node.
 type Config struct {
-	Self  VM
-	Board *Board
+	Self      VM
+	UpdateLog *UpdateLog
 	// Reader reads the store for this VM and for those that poll it.
 	Reader Reader
-	Caller peer.Caller
+	Caller peer.Client
 	// Stewards returns the stewards that this VM knows, in the order in which to poll them. This VM may be among
 	// them.
 	Stewards func() []VM
-	// Fleet returns the number of VMs that this VM knows.
-	Fleet func() int
-	// Look reads the list of stewards from the store once.
-	Look func(ctx context.Context) error
-	// Present is called with the description of a VM that polls this one for the first time, has changed, or has
+	// FleetSize returns the number of VMs that this VM knows.
+	FleetSize func() int
+	// ReadStewards reads the list of stewards from the store once.
+	ReadStewards func(ctx context.Context) error
+	// OnVMChange is called with the description of a VM that polls this one for the first time, has changed, or has
 	// become unresponsive, and of this VM when it begins to read the store.
-	Present func(VM)
+	OnVMChange func(VM)
 	// Apply applies updates received from another VM. full says that they are all entries there are. operator and
 	// endpoints are the times up to which the operator's rows and the list of endpoints are known to be current.
 	Apply func(entries []Entry, full bool, operator, endpoints time.Time)
@@ -186,7 +186,7 @@
 func (n *Node) lookUpStewards(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
-	return n.cfg.Look(ctx)
+	return n.cfg.ReadStewards(ctx)
 }
 
 func (n *Node) isSteward() bool {
@@ -212,7 +212,7 @@
 // delaySwitch waits for a random time: all VMs have lost the same source, and each requests all entries of the next
 // one.
 func (n *Node) delaySwitch(ctx context.Context) {
-	spread := min(switchDelayPerVM*time.Duration(n.cfg.Fleet()), maxSwitchDelay)
+	spread := min(switchDelayPerVM*time.Duration(n.cfg.FleetSize()), maxSwitchDelay)
 	clock.Sleep(ctx, rand.N(spread+1))
 }
 
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -33,7 +33,7 @@
 	bed     *testbed
 	vm      VM
 	node    *Node
-	updates *Board
+	updates *UpdateLog
 
 	mu         sync.Mutex
 	config     string
@@ -180,7 +180,7 @@
 		}
 		for i := range n {
 			id := fmt.Sprintf("vm%d", i)
-			m := &testVM{bed: bed, vm: VM{ID: id, Address: id}, updates: NewBoard(id), responsive: map[string]bool{}}
+			m := &testVM{bed: bed, vm: VM{ID: id, Address: id}, updates: NewUpdateLog(id), responsive: map[string]bool{}}
 			vms = append(vms, m)
 			bed.vms[id] = m
 			if i < 2 {
@@ -191,15 +191,15 @@
 		var loops sync.WaitGroup
 		for _, m := range vms {
 			m.node = New(ctx, Config{
-				Self: m.vm, Board: m.updates, Reader: m, Caller: m, Log: log, Apply: m.apply,
+				Self: m.vm, UpdateLog: m.updates, Reader: m, Caller: m, Log: log, Apply: m.apply,
 				Stewards: func() []VM {
 					m.mu.Lock()
 					defer m.mu.Unlock()
 					return m.known
 				},
-				Fleet: func() int { return n },
-				Look:  m.lookUpStewards,
-				Present: func(vm VM) {
+				FleetSize:    func() int { return n },
+				ReadStewards: m.lookUpStewards,
+				OnVMChange: func(vm VM) {
 					m.mu.Lock()
 					defer m.mu.Unlock()
 					m.responsive[vm.ID] = !vm.Silent
@@ -378,7 +378,7 @@
 // Since returns only the entries changed after a known revision, removals included, and all present entries to a VM that
 // names no update log or another one.
 func TestUpdateLogSince(t *testing.T) {
-	b := NewBoard("b")
+	b := NewUpdateLog("b")
 	b.Put(Endpoints, "x", []byte("1"))
 	b.Put(Endpoints, "y", []byte("1"))
 	entries, at, full := b.Since("", 0)
--- a/pkg/relay/service.go
+++ b/pkg/relay/service.go
@@ -18,7 +18,7 @@
 	n.readFor(readLinger)
 	n.recordPull(args.From, started)
 	n.awaitFirstRead(started)
-	updates := n.cfg.Board
+	updates := n.cfg.UpdateLog
 	if args.Board == updates.id {
 		timer := time.NewTimer(pullWait)
 		defer timer.Stop()
@@ -89,11 +89,11 @@
 
 // publishVM adds the description of a VM to the update log.
 func (n *Node) publishVM(vm VM) {
-	n.cfg.Present(vm)
+	n.cfg.OnVMChange(vm)
 	data, err := json.Marshal(vm)
 	if err != nil {
 		n.cfg.Log.WithError(err).WithField("event", "vm_not_published").Error("cannot encode the description of a VM")
 		return
 	}
-	n.cfg.Board.Put(VMs, vm.ID, data)
+	n.cfg.UpdateLog.Put(VMs, vm.ID, data)
 }
--- a/pkg/relay/update_log.go
+++ b/pkg/relay/update_log.go
@@ -50,9 +50,9 @@
 	removed  bool
 }
 
-// Board is the update log of a VM: the newest entry of each key in all topics, with the revision of its last change.
+// UpdateLog is the update log of a VM: the newest entry of each key in all topics, with the revision of its last change.
 // The log is safe for concurrent use.
-type Board struct {
+type UpdateLog struct {
 	id string
 
 	mu sync.Mutex
@@ -63,13 +63,13 @@
 	changed  chan struct{} // closed and replaced at each change
 }
 
-// NewBoard returns an empty update log. id must differ from the ids of the update logs of other processes.
-func NewBoard(id string) *Board {
-	return &Board{id: id, entries: map[entryKey]entryState{}, changed: make(chan struct{})}
+// NewUpdateLog returns an empty update log. id must differ from the ids of the update logs of other processes.
+func NewUpdateLog(id string) *UpdateLog {
+	return &UpdateLog{id: id, entries: map[entryKey]entryState{}, changed: make(chan struct{})}
 }
 
 // Put sets an entry. An equal value changes nothing.
-func (l *Board) Put(topic Topic, key string, value []byte) {
+func (l *UpdateLog) Put(topic Topic, key string, value []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := entryKey{topic, key}
@@ -80,7 +80,7 @@
 }
 
 // Remove marks an entry as removed.
-func (l *Board) Remove(topic Topic, key string) {
+func (l *UpdateLog) Remove(topic Topic, key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := entryKey{topic, key}
@@ -90,7 +90,7 @@
 }
 
 // Replace sets the entries of a topic to values and removes all others of the topic.
-func (l *Board) Replace(topic Topic, values map[string][]byte) {
+func (l *UpdateLog) Replace(topic Topic, values map[string][]byte) {
 	for key, value := range values {
 		l.Put(topic, key, value)
 	}
@@ -102,7 +102,7 @@
 }
 
 // keys returns the keys of the entries of a topic that are not removed.
-func (l *Board) keys(topic Topic) []string {
+func (l *UpdateLog) keys(topic Topic) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var keys []string
@@ -115,7 +115,7 @@
 }
 
 // set stores an entry at the next revision. l.mu is held.
-func (l *Board) set(k entryKey, e entryState) {
+func (l *UpdateLog) set(k entryKey, e entryState) {
 	l.revision++
 	e.revision = l.revision
 	l.entries[k] = e
@@ -125,7 +125,7 @@
 
 // Since returns the entries that have changed after a revision of the update log with the given id, and the
 // current revision. If the id is that of another update log, Since returns all entries and full is true.
-func (l *Board) Since(id string, after uint64) (entries []Entry, revision uint64, full bool) {
+func (l *UpdateLog) Since(id string, after uint64) (entries []Entry, revision uint64, full bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	full = id != l.id || after > l.revision
@@ -139,7 +139,7 @@
 }
 
 // changedSince returns a channel that is closed once an entry has changed after the given revision.
-func (l *Board) changedSince(after uint64) <-chan struct{} {
+func (l *UpdateLog) changedSince(after uint64) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.revision > after {
--- a/pkg/request/fixture_test.go
+++ b/pkg/request/fixture_test.go
@@ -65,14 +65,14 @@
 	used int64
 }
 
-func (m *fakeMemory) Take(n int64) bool {
+func (m *fakeMemory) Reserve(n int64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.used += n
 	return true
 }
 
-func (m *fakeMemory) Give(n int64) {
+func (m *fakeMemory) Release(n int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.used -= n
--- a/pkg/request/request.go
+++ b/pkg/request/request.go
@@ -68,15 +68,15 @@
 	Event(data []byte) error
 	// Finish sends the end marker of the stream.
 	Finish() error
-	// Answer sends a complete answer that is not a stream.
+	// Response sends a complete answer that is not a stream.
 	Answer(status int, header http.Header, body []byte) error
 }
 
 // Recorder stores the at-most-once records of non-idempotent requests. ledger.Ledger implements it.
 type Recorder interface {
-	Begin(ctx context.Context, key ledger.Key, bodyHash string, holder ledger.Holder) (*ledger.Handle, *ledger.Answer, error)
+	Begin(ctx context.Context, key ledger.Key, bodyHash string, holder ledger.Holder) (*ledger.Handle, *ledger.Response, error)
 	Rebind(ctx context.Context, h *ledger.Handle, holder ledger.Holder) error
-	Complete(ctx context.Context, h *ledger.Handle, answer ledger.Answer) error
+	Complete(ctx context.Context, h *ledger.Handle, answer ledger.Response) error
 	Release(ctx context.Context, h *ledger.Handle) error
 }
 
@@ -87,12 +87,12 @@
 	Cleared(fingerprint uint64)
 }
 
-// Memory limits the total size of the answers that are buffered until they are complete.
-type Memory interface {
-	// Take reserves n bytes. It returns false, and reserves nothing, if the limit would be exceeded.
-	Take(n int64) bool
-	// Give releases n reserved bytes.
-	Give(n int64)
+// ResponseMemory limits the total size of the answers that are buffered until they are complete.
+type ResponseMemory interface {
+	// Reserve reserves n bytes. It returns false, and reserves nothing, if the limit would be exceeded.
+	Reserve(n int64) bool
+	// Release releases n reserved bytes.
+	Release(n int64)
 }
 
 // Side says whether a Hook is called before or after a step.
@@ -115,7 +115,7 @@
 	Ledger    Recorder
 	Suspects  Suspects
 	Retries   *retry.Budget
-	Memory    Memory
+	Memory    ResponseMemory
 	Metrics   metrics.Registry
 	Log       logrus.FieldLogger
 	// Hook is nil outside tests.
--- a/pkg/request/run.go
+++ b/pkg/request/run.go
@@ -47,7 +47,7 @@
 	// admitStarted is when the call to Quota.Admit began: the account was not charged before then.
 	admitStarted time.Time
 	record       *ledger.Handle
-	replay       *ledger.Answer
+	replay       *ledger.Response
 	answer       answer
 	// failure is the final error; nil if there is none.
 	failure *result.Error
--- a/pkg/request/steps_attempt.go
+++ b/pkg/request/steps_attempt.go
@@ -294,7 +294,7 @@
 	if r.answer.overflow {
 		return nil
 	}
-	if len(r.answer.body)+len(data) <= MaxAnswerBytes && r.s.cfg.Memory.Take(int64(len(data))) {
+	if len(r.answer.body)+len(data) <= MaxAnswerBytes && r.s.cfg.Memory.Reserve(int64(len(data))) {
 		r.answer.body = append(r.answer.body, data...)
 		return nil
 	}
@@ -308,6 +308,6 @@
 
 // releaseBody discards the buffered body and releases its memory.
 func (r *execution) releaseBody() {
-	r.s.cfg.Memory.Give(int64(len(r.answer.body)))
+	r.s.cfg.Memory.Release(int64(len(r.answer.body)))
 	r.answer.body = nil
 }
--- a/pkg/request/steps_end.go
+++ b/pkg/request/steps_end.go
@@ -38,8 +38,8 @@
 	return evDone
 }
 
-func (r *execution) recordedAnswer() ledger.Answer {
-	return ledger.Answer{
+func (r *execution) recordedAnswer() ledger.Response {
+	return ledger.Response{
 		Status:  r.answer.status,
 		Header:  r.answer.header,
 		Body:    r.answer.body,
--- a/pkg/request/steps_recover.go
+++ b/pkg/request/steps_recover.go
@@ -212,7 +212,7 @@
 	r.resume = nil
 	if f.Crashed && r.refusedAsSuspect() {
 		e := result.New(result.Suspect, "equal requests crashed endpoints")
-		e.RetryAfter = suspect.DefaultMemory
+		e.RetryAfter = suspect.DefaultRetention
 		return r.endWithError(e)
 	}
 	if usesBudget && !r.s.cfg.Retries.Withdraw() {
--- a/pkg/retry/window.go
+++ b/pkg/retry/window.go
@@ -32,17 +32,17 @@
 	return &Window{span: span, share: share, reserve: reserve}
 }
 
-// Request counts one request at the time now.
-func (w *Window) Request(now time.Time) {
+// CountRequest counts one request at the time now.
+func (w *Window) CountRequest(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance(now)
 	w.requests[w.current]++
 }
 
-// Repeat counts one retry at the time now and reports true if the limit allows the retry. Otherwise it
+// AllowRetry counts one retry at the time now and reports true if the limit allows the retry. Otherwise it
 // reports false and counts nothing.
-func (w *Window) Repeat(now time.Time) bool {
+func (w *Window) AllowRetry(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance(now)
--- a/pkg/retry/window_test.go
+++ b/pkg/retry/window_test.go
@@ -20,10 +20,10 @@
 	for i := range 6000 {
 		now = now.Add(7 * time.Millisecond)
 		if i%3 == 0 && i < 4000 {
-			w.Request(now)
+			w.CountRequest(now)
 			events = append(events, event{now, false})
 		}
-		if w.Repeat(now) {
+		if w.AllowRetry(now) {
 			events = append(events, event{now, true})
 		}
 	}
@@ -47,8 +47,8 @@
 func TestWindowExpiresOldRetries(t *testing.T) {
 	w := NewWindow(10*time.Second, 0, func() float64 { return 2 })
 	now := time.Unix(1_700_000_000, 0)
-	require.True(t, w.Repeat(now))
-	require.True(t, w.Repeat(now))
-	require.False(t, w.Repeat(now.Add(9*time.Second)))
-	require.True(t, w.Repeat(now.Add(11*time.Second)))
+	require.True(t, w.AllowRetry(now))
+	require.True(t, w.AllowRetry(now))
+	require.False(t, w.AllowRetry(now.Add(9*time.Second)))
+	require.True(t, w.AllowRetry(now.Add(11*time.Second)))
 }
--- a/pkg/route/table.go
+++ b/pkg/route/table.go
@@ -49,9 +49,9 @@
 	return strings.ToLower(host)
 }
 
-// Pick returns the group of endpoints that a request goes to. If the route has weighted backends, point, a
+// PickGroup returns the group of endpoints that a request goes to. If the route has weighted backends, point, a
 // number in [0,1), selects one of them in proportion to the weights.
-func Pick(r bundle.Route, point float64) string {
+func PickGroup(r bundle.Route, point float64) string {
 	total := 0.0
 	for _, b := range r.Backends {
 		total += b.Weight
--- a/pkg/route/table_test.go
+++ b/pkg/route/table_test.go
@@ -43,9 +43,9 @@
 	counts := map[string]int{}
 	const points = 1000
 	for i := range points {
-		counts[Pick(r, float64(i)/points)]++
+		counts[PickGroup(r, float64(i)/points)]++
 	}
 	require.Equal(t, map[string]int{"a": 900, "b": 100}, counts)
-	require.Equal(t, "only", Pick(bundle.Route{Group: "only"}, 0.5))
-	require.Equal(t, "z", Pick(bundle.Route{Backends: []bundle.Backend{{Group: "z"}}}, 0.5))
+	require.Equal(t, "only", PickGroup(bundle.Route{Group: "only"}, 0.5))
+	require.Equal(t, "z", PickGroup(bundle.Route{Backends: []bundle.Backend{{Group: "z"}}}, 0.5))
 }
--- a/pkg/scheduler/api.go
+++ b/pkg/scheduler/api.go
@@ -60,8 +60,8 @@
 	Unload
 	// Refuse ends item ID with Err. The item has not run.
 	Refuse
-	// Role sets the role of Endpoint to the Role field.
-	Role
+	// SetRole sets the role of Endpoint to the Role field.
+	SetRole
 )
 
 // Action is a decision that the owner carries out.
--- a/pkg/settings/kinds.go
+++ b/pkg/settings/kinds.go
@@ -108,7 +108,7 @@
 // enumField returns a field in the section log whose value must be one of the options.
 func enumField(key, fallback string, options []string, doc string, target func(*Settings) *string) field {
 	read := func(r *reader, f field, s *Settings) {
-		*target(s) = r.section(f.section).Word(f.key, fallback, options...)
+		*target(s) = r.section(f.section).Enum(f.key, fallback, options...)
 	}
 	return field{"log", key, strings.Join(options, ", "), fallback, doc, read}
 }
--- a/pkg/settings/reader.go
+++ b/pkg/settings/reader.go
@@ -44,7 +44,7 @@
 			section.Fail("", "unknown section")
 			continue
 		}
-		section.Done()
+		section.ReportUnknownKeys()
 	}
 	return s
 }
--- a/pkg/suspect/crash_times.go
+++ b/pkg/suspect/crash_times.go
@@ -24,7 +24,7 @@
 
 // reconcileCrashTime reports a crash to its homes, the VMs that record when it was first seen, and returns the earliest time
 // at which it was seen by this VM or by any VM that has reported it to them.
-func (s *Share) reconcileCrashTime(crash string, seen time.Time) time.Time {
+func (s *Syncer) reconcileCrashTime(crash string, seen time.Time) time.Time {
 	members := s.members()
 	homes := homesOf(members, xxhash.Sum64String(crash))
 	ctx, cancel := context.WithTimeout(s.detector.ctx, crashTimeTimeout)
@@ -48,7 +48,7 @@
 
 // sendCrashTime reports a crash to one of its homes, and returns when it was first seen as far as that VM knows, or seen if
 // the call fails.
-func (s *Share) sendCrashTime(ctx context.Context, m membership.Member, crash string, seen time.Time) time.Time {
+func (s *Syncer) sendCrashTime(ctx context.Context, m membership.Member, crash string, seen time.Time) time.Time {
 	if m.ID == s.self {
 		return s.recordCrashTime(crash, seen)
 	}
@@ -61,7 +61,7 @@
 }
 
 // recordCrashTime records when a crash was seen, and returns when it was first seen.
-func (s *Share) recordCrashTime(crash string, seen time.Time) time.Time {
+func (s *Syncer) recordCrashTime(crash string, seen time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if first, known := s.crashTimes[crash]; known && first.Before(seen) {
--- a/pkg/suspect/detector.go
+++ b/pkg/suspect/detector.go
@@ -16,17 +16,17 @@
 	"github.com/mallowlink/mallowlink/pkg/roster"
 )
 
-// Life is what is known of the state of an endpoint incarnation.
-type Life uint8
+// Liveness is what is known of the state of an endpoint incarnation.
+type Liveness uint8
 
 // Possible states of an endpoint incarnation.
 const (
 	// Unknown says that the endpoint has not responded.
-	Unknown Life = iota
+	Unknown Liveness = iota
 	// Alive says that this incarnation has responded.
 	Alive
-	// Ended says that this incarnation has terminated.
-	Ended
+	// Terminated says that this incarnation has terminated.
+	Terminated
 )
 
 // Listing is what the list of endpoints says of an endpoint incarnation.
@@ -45,27 +45,27 @@
 // Prober finds out whether endpoints are alive.
 type Prober interface {
 	// Probe queries an endpoint for the state of its incarnation. It returns when ctx ends at the latest.
-	Probe(ctx context.Context, e roster.Endpoint) Life
+	Probe(ctx context.Context, e roster.Endpoint) Liveness
 }
 
-// WatchConfig is the configuration of a crash detector.
-type WatchConfig struct {
+// DetectorConfig is the configuration of a crash detector.
+type DetectorConfig struct {
 	Table  *Table
 	Prober Prober
 	// Listed returns what the list of endpoints says of an endpoint incarnation.
 	Listed func(e roster.Endpoint) Listing
-	// Told is called when there may be something new to report to the other VMs.
-	Told    func()
-	Metrics metrics.Registry
-	Log     logrus.FieldLogger
+	// OnChange is called when there may be something new to report to the other VMs.
+	OnChange func()
+	Metrics  metrics.Registry
+	Log      logrus.FieldLogger
 }
 
-// Watch detects crashes of endpoints and holds them against the requests that were in flight there, for a VM that dispatches
+// Detector detects crashes of endpoints and holds them against the requests that were in flight there, for a VM that dispatches
 // requests directly. A lost connection does not always mean a crashed endpoint: the crash counts at once on this VM, and is
 // retracted if the endpoint turns out to be alive. Other VMs are notified only after that is decided.
 // It is safe for concurrent use.
-type Watch struct {
-	cfg     WatchConfig
+type Detector struct {
+	cfg     DetectorConfig
 	metrics detectorMetrics
 	ctx     context.Context
 
@@ -101,10 +101,10 @@
 	metricCleared = "suspect.cleared"
 )
 
-// NewWatch returns a crash detector. Its checks stop when ctx ends.
-func NewWatch(ctx context.Context, cfg WatchConfig) *Watch {
+// NewDetector returns a crash detector. Its checks stop when ctx ends.
+func NewDetector(ctx context.Context, cfg DetectorConfig) *Detector {
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter(name, cfg.Metrics) }
-	return &Watch{
+	return &Detector{
 		cfg: cfg, ctx: ctx, served: newRecentlyServed(), decidesTrials: func(uint64) bool { return true },
 		reconcileCrashTime: func(_ string, seen time.Time) time.Time { return seen }, checks: map[roster.Incarnation]*livenessCheck{}, confirmedCrashes: map[string]time.Time{},
 		metrics: detectorMetrics{
@@ -113,40 +113,42 @@
 	}
 }
 
-// Quiet reports whether no request is suspect, so that no request has to be identified before it is sent.
-func (d *Watch) Quiet() bool { return d.cfg.Table.Empty() }
+// NoSuspects reports whether no request is suspect, so that no request has to be identified before it is sent.
+func (d *Detector) NoSuspects() bool { return d.cfg.Table.Empty() }
 
 // Admit decides whether a request may be sent to an endpoint. With Refuse, the duration is the time after which the request
 // will be allowed again. Now and then a refused request is allowed as a trial.
-func (d *Watch) Admit(fingerprint uint64) (Decision, time.Duration) {
+func (d *Detector) Admit(fingerprint uint64) (Decision, time.Duration) {
 	now := time.Now()
 	decision, after := d.cfg.Table.Admit(now, fingerprint)
 	if decision != Refuse {
 		return decision, after
 	}
 	if d.decidesTrials(fingerprint) && d.cfg.Table.AllowTrial(now, fingerprint) {
-		d.cfg.Log.WithFields(logrus.Fields{"event": "suspect_tried", "fingerprint": Text(fingerprint)}).Info("refused request allowed as a trial")
+		d.cfg.Log.WithFields(logrus.Fields{"event": "suspect_tried", "fingerprint": FormatFingerprint(fingerprint)}).Info("refused request allowed as a trial")
 		return Allow, 0
 	}
 	d.metrics.refused.Inc(1)
 	return Refuse, after
 }
 
-// Avoid returns the endpoints on which this VM runs other suspects.
-func (d *Watch) Avoid(fingerprint uint64) []string { return d.cfg.Table.SuspectEndpoints(fingerprint) }
+// SuspectEndpoints returns the endpoints on which this VM runs other suspects.
+func (d *Detector) SuspectEndpoints(fingerprint uint64) []string {
+	return d.cfg.Table.SuspectEndpoints(fingerprint)
+}
 
 // Started records that a suspect is about to be sent to an endpoint. It reports false if the suspect must not be sent there.
-func (d *Watch) Started(fingerprint uint64, endpoint string) bool {
+func (d *Detector) Started(fingerprint uint64, endpoint string) bool {
 	return d.cfg.Table.Started(time.Now(), fingerprint, endpoint)
 }
 
-// Left records that a suspect for which Started returned true no longer runs on the endpoint.
-func (d *Watch) Left(fingerprint uint64, endpoint string) {
+// Ended records that a suspect for which Started returned true no longer runs on the endpoint.
+func (d *Detector) Ended(fingerprint uint64, endpoint string) {
 	d.cfg.Table.Ended(time.Now(), fingerprint, endpoint, false)
 }
 
 // Served records that a request received a complete response: it does not crash every endpoint that runs it.
-func (d *Watch) Served(fingerprint uint64) {
+func (d *Detector) Served(fingerprint uint64) {
 	now := time.Now()
 	d.served.add(fingerprint, now)
 	if !d.cfg.Table.Clear(now, fingerprint) {
@@ -154,15 +156,15 @@
 	}
 	d.cfg.Table.MarkObserved(fingerprint)
 	d.metrics.cleared.Inc(1)
-	d.cfg.Log.WithFields(logrus.Fields{"event": "suspect_cleared", "fingerprint": Text(fingerprint)}).Info("suspect request received a complete response; cleared")
-	d.cfg.Told()
+	d.cfg.Log.WithFields(logrus.Fields{"event": "suspect_cleared", "fingerprint": FormatFingerprint(fingerprint)}).Info("suspect request received a complete response; cleared")
+	d.cfg.OnChange()
 }
 
-// Text formats a fingerprint as in logs and state dumps.
-func Text(fingerprint uint64) string { return strconv.FormatUint(fingerprint, 16) }
+// FormatFingerprint formats a fingerprint as in logs and state dumps.
+func FormatFingerprint(fingerprint uint64) string { return strconv.FormatUint(fingerprint, 16) }
 
-// Answered records that an endpoint has responded to a request that was sent at the given time, so that it was alive then.
-func (d *Watch) Answered(id roster.Incarnation, sent time.Time) {
+// Responded records that an endpoint has responded to a request that was sent at the given time, so that it was alive then.
+func (d *Detector) Responded(id roster.Incarnation, sent time.Time) {
 	if d.openChecks.Load() == 0 {
 		return
 	}
@@ -175,7 +177,7 @@
 
 // markAlive retracts the crash from requests whose connections were lost before sent, a time at which the endpoint is
 // known to have been alive, unless that is so much later that the endpoint may have restarted. d.mu is held.
-func (d *Watch) markAlive(c *livenessCheck, sent time.Time) {
+func (d *Detector) markAlive(c *livenessCheck, sent time.Time) {
 	for fingerprint, r := range c.affected {
 		if sent.After(r.lostAt) && sent.Sub(r.lostAt) < minRestartTime {
 			delete(c.affected, fingerprint)
@@ -187,9 +189,9 @@
 // crashID identifies the crash of an endpoint incarnation, in the same way on all VMs.
 func crashID(e roster.Endpoint) string { return e.ID + "/" + strconv.FormatInt(e.Started, 10) }
 
-// Broke records that the connection of a request, sent at the given time, was lost on the endpoint's side before the response
+// ConnectionLost records that the connection of a request, sent at the given time, was lost on the endpoint's side before the response
 // was complete. running is how long the endpoint had been responding to the request.
-func (d *Watch) Broke(e roster.Endpoint, account string, fingerprint uint64, sent time.Time, running time.Duration) {
+func (d *Detector) ConnectionLost(e roster.Endpoint, account string, fingerprint uint64, sent time.Time, running time.Duration) {
 	if running >= minSafeRunTime || d.cfg.Listed(e) == Leaving {
 		return
 	}
@@ -207,7 +209,7 @@
 	}
 	d.cfg.Table.AddObservedCrash(now, account, fingerprint, crashID(e))
 	if confirmed {
-		d.cfg.Told()
+		d.cfg.OnChange()
 		return
 	}
 	if c == nil {
@@ -220,7 +222,7 @@
 }
 
 // unconfirmedCrashes returns the possible crashes that this VM is still checking. They are not reported to other VMs.
-func (d *Watch) unconfirmedCrashes() map[string]bool {
+func (d *Detector) unconfirmedCrashes() map[string]bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	open := make(map[string]bool, len(d.checks))
@@ -239,15 +241,15 @@
 }
 
 // Suspects returns all requests with crashes, those with the most crashes first.
-func (d *Watch) Suspects() []Suspect {
+func (d *Detector) Suspects() []Suspect {
 	byRequest := map[uint64]*Suspect{}
-	for _, r := range d.cfg.Table.Notices(time.Now()) {
+	for _, r := range d.cfg.Table.Reports(time.Now()) {
 		if r.Cleared {
 			continue
 		}
 		s := byRequest[r.Fingerprint]
 		if s == nil {
-			s = &Suspect{Fingerprint: Text(r.Fingerprint), Account: r.Account, Age: r.Age.Round(time.Millisecond).String()}
+			s = &Suspect{Fingerprint: FormatFingerprint(r.Fingerprint), Account: r.Account, Age: r.Age.Round(time.Millisecond).String()}
 			byRequest[r.Fingerprint] = s
 		}
 		s.Crashes = append(s.Crashes, r.Crash)
@@ -266,7 +268,7 @@
 const maxKnownCrashTimes = 1024
 
 // Sweep removes expired crashes and clearances from the table, and the times of confirmed crashes if there are too many.
-func (d *Watch) Sweep(now time.Time) {
+func (d *Detector) Sweep(now time.Time) {
 	d.cfg.Table.Sweep(now)
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/pkg/suspect/detector_test.go
+++ b/pkg/suspect/detector_test.go
@@ -21,17 +21,17 @@
 // fakeEndpoints is a Prober, and the list of endpoints. An endpoint whose state is Unknown does not respond to probes.
 type fakeEndpoints struct {
 	mu     sync.Mutex
-	states map[string]Life
+	states map[string]Liveness
 	listed map[string]Listing
 	probes int
 }
 
 func newFakeEndpoints() *fakeEndpoints {
-	return &fakeEndpoints{states: map[string]Life{}, listed: map[string]Listing{}}
+	return &fakeEndpoints{states: map[string]Liveness{}, listed: map[string]Listing{}}
 }
 
 // Probe implements Prober.
-func (p *fakeEndpoints) Probe(ctx context.Context, e roster.Endpoint) Life {
+func (p *fakeEndpoints) Probe(ctx context.Context, e roster.Endpoint) Liveness {
 	p.mu.Lock()
 	p.probes++
 	liveness := p.states[e.ID]
@@ -48,7 +48,7 @@
 	return p.listed[e.ID]
 }
 
-func (p *fakeEndpoints) set(id string, liveness Life) {
+func (p *fakeEndpoints) set(id string, liveness Liveness) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.states[id] = liveness
@@ -58,15 +58,15 @@
 	return roster.Endpoint{Incarnation: roster.Incarnation{ID: id, Started: 1}, Group: "g", Address: id}
 }
 
-func newTestDetector(t *testing.T, p *fakeEndpoints) *Watch {
+func newTestDetector(t *testing.T, p *fakeEndpoints) *Detector {
 	log, _ := test.NewNullLogger()
-	return NewWatch(t.Context(), WatchConfig{
-		Table: NewTable(DirectLimits()), Prober: p, Listed: p.list, Told: func() {}, Metrics: metrics.NewRegistry(), Log: log,
+	return NewDetector(t.Context(), DetectorConfig{
+		Table: NewTable(DirectLimits()), Prober: p, Listed: p.list, OnChange: func() {}, Metrics: metrics.NewRegistry(), Log: log,
 	})
 }
 
 // crashes returns the number of crashes held against the request fp, and the number of those that may be reported to others.
-func (d *Watch) crashes() (held, shared int) {
+func (d *Detector) crashes() (held, shared int) {
 	for _, r := range d.cfg.Table.ReportsOf(time.Now(), fp) {
 		if r.Cleared {
 			continue
@@ -79,7 +79,7 @@
 	return held, shared
 }
 
-func requireCrashes(t *testing.T, d *Watch, held, shared int) {
+func requireCrashes(t *testing.T, d *Detector, held, shared int) {
 	t.Helper()
 	gotHeld, gotShared := d.crashes()
 	require.Equal(t, [2]int{held, shared}, [2]int{gotHeld, gotShared}, "held, shared")
@@ -90,12 +90,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := newFakeEndpoints()
 		d := newTestDetector(t, p)
-		require.True(t, d.Quiet())
+		require.True(t, d.NoSuspects())
 		for i, want := range []Decision{Isolate, Isolate, Refuse} {
 			id := fmt.Sprint("e", i)
-			p.set(id, Ended)
-			d.Broke(testEndpoint(id), account, fp, time.Now(), 0)
-			d.Broke(testEndpoint(id), account, fp, time.Now(), 0)
+			p.set(id, Terminated)
+			d.ConnectionLost(testEndpoint(id), account, fp, time.Now(), 0)
+			d.ConnectionLost(testEndpoint(id), account, fp, time.Now(), 0)
 			decision, _ := d.Admit(fp)
 			require.Equal(t, want, decision, "the crash counts on this VM at once")
 			time.Sleep(2 * firstProbeDelay)
@@ -118,14 +118,14 @@
 		for i := range 50 {
 			id := fmt.Sprint("e", i%5)
 			p.set(id, Alive)
-			d.Broke(testEndpoint(id), account, fp, time.Now(), 0)
+			d.ConnectionLost(testEndpoint(id), account, fp, time.Now(), 0)
 			time.Sleep(time.Duration(i%7) * 50 * time.Millisecond)
 			_, shared := d.crashes()
 			require.Zero(t, shared, "an unconfirmed crash must not be reported")
 		}
 		time.Sleep(time.Second)
 		requireCrashes(t, d, 0, 0)
-		require.True(t, d.Quiet())
+		require.True(t, d.NoSuspects())
 	})
 }
 
@@ -144,14 +144,14 @@
 			p := newFakeEndpoints()
 			d := newTestDetector(t, p)
 			now := time.Now()
-			d.Broke(testEndpoint("e"), account, fp, time.Now(), 0)
+			d.ConnectionLost(testEndpoint("e"), account, fp, time.Now(), 0)
 			time.Sleep(firstProbeDelay / 2)
-			d.Answered(testEndpoint("e").Incarnation, now.Add(c.sent))
+			d.Responded(testEndpoint("e").Incarnation, now.Add(c.sent))
 			if c.alive {
 				requireCrashes(t, d, 0, 0)
 				time.Sleep(time.Second)
 				require.Zero(t, p.probes)
-				require.True(t, d.Quiet())
+				require.True(t, d.NoSuspects())
 				return
 			}
 			time.Sleep(time.Second)
@@ -164,7 +164,7 @@
 func TestUnresponsiveEndpointsCountAsCrashed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDetector(t, newFakeEndpoints())
-		d.Broke(testEndpoint("e"), account, fp, time.Now(), 0)
+		d.ConnectionLost(testEndpoint("e"), account, fp, time.Now(), 0)
 		time.Sleep(presumeCrashedAfter / 2)
 		requireCrashes(t, d, 1, 0)
 		time.Sleep(presumeCrashedAfter)
@@ -180,10 +180,10 @@
 		d := newTestDetector(t, p)
 		p.listed["leaving"], p.listed["replaced"] = Leaving, Replaced
 		p.set("replaced", Alive)
-		d.Broke(testEndpoint("leaving"), account, fp, time.Now(), 0)
-		d.Broke(testEndpoint("settled"), account, fp, time.Now(), minSafeRunTime)
-		require.True(t, d.Quiet())
-		d.Broke(testEndpoint("replaced"), account, fp, time.Now(), 0)
+		d.ConnectionLost(testEndpoint("leaving"), account, fp, time.Now(), 0)
+		d.ConnectionLost(testEndpoint("settled"), account, fp, time.Now(), minSafeRunTime)
+		require.True(t, d.NoSuspects())
+		d.ConnectionLost(testEndpoint("replaced"), account, fp, time.Now(), 0)
 		time.Sleep(time.Second)
 		requireCrashes(t, d, 1, 1)
 	})
@@ -196,8 +196,8 @@
 		d := newTestDetector(t, p)
 		for i := range 3 {
 			id := fmt.Sprint("e", i)
-			p.set(id, Ended)
-			d.Broke(testEndpoint(id), account, fp, time.Now(), 0)
+			p.set(id, Terminated)
+			d.ConnectionLost(testEndpoint(id), account, fp, time.Now(), 0)
 		}
 		time.Sleep(time.Second)
 		d.Served(fp)
@@ -205,7 +205,7 @@
 		require.Equal(t, Allow, decision)
 		time.Sleep(clearanceRetention)
 		d.Sweep(time.Now())
-		require.True(t, d.Quiet())
+		require.True(t, d.NoSuspects())
 	})
 }
 
@@ -214,18 +214,18 @@
 func TestSuspectsAreIsolated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newFakeEndpoints()
-		p.set("e1", Ended)
+		p.set("e1", Terminated)
 		d := newTestDetector(t, p)
-		d.Broke(testEndpoint("e1"), account, fp, time.Now(), 0)
-		d.Broke(testEndpoint("e1"), account, fp+1, time.Now(), 0)
+		d.ConnectionLost(testEndpoint("e1"), account, fp, time.Now(), 0)
+		d.ConnectionLost(testEndpoint("e1"), account, fp+1, time.Now(), 0)
 		require.True(t, d.Started(fp, "e2"))
-		require.Equal(t, []string{"e2"}, d.Avoid(fp+1))
-		require.Empty(t, d.Avoid(fp))
+		require.Equal(t, []string{"e2"}, d.SuspectEndpoints(fp+1))
+		require.Empty(t, d.SuspectEndpoints(fp))
 		require.True(t, d.Started(fp, "e3"))
 		require.False(t, d.Started(fp, "e4"))
 		decision, _ := d.Admit(fp)
 		require.Equal(t, Wait, decision)
-		d.Left(fp, "e3")
+		d.Ended(fp, "e3")
 		require.True(t, d.Started(fp, "e4"))
 		time.Sleep(time.Second)
 	})
@@ -234,20 +234,20 @@
 // A request must not be sent again before it is known whether its endpoint has crashed, but must not wait for long.
 func TestResendWaitsForLivenessCheck(t *testing.T) {
 	for name, c := range map[string]struct {
-		liveness Life
+		liveness Liveness
 		at, most time.Duration
 	}{
-		"ended": {Ended, firstProbeDelay, firstProbeDelay + peerReportWait}, "alive": {Alive, firstProbeDelay, firstProbeDelay}, "unresponsive": {Unknown, maxLivenessWait, maxLivenessWait},
+		"ended": {Terminated, firstProbeDelay, firstProbeDelay + peerReportWait}, "alive": {Alive, firstProbeDelay, firstProbeDelay}, "unresponsive": {Unknown, maxLivenessWait, maxLivenessWait},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			p := newFakeEndpoints()
 			p.set("e", c.liveness)
 			d := newTestDetector(t, p)
 			start := time.Now()
-			d.AwaitVerdict(t.Context(), testEndpoint("e").Incarnation)
+			d.AwaitLiveness(t.Context(), testEndpoint("e").Incarnation)
 			require.Zero(t, time.Since(start), "no check is in progress")
-			d.Broke(testEndpoint("e"), account, fp, time.Now(), 0)
-			d.AwaitVerdict(t.Context(), testEndpoint("e").Incarnation)
+			d.ConnectionLost(testEndpoint("e"), account, fp, time.Now(), 0)
+			d.AwaitLiveness(t.Context(), testEndpoint("e").Incarnation)
 			took := time.Since(start)
 			require.True(t, took >= c.at && took <= c.most, "%s: %v", name, took)
 			time.Sleep(time.Second)
@@ -263,14 +263,14 @@
 		d.Served(fp)
 		for i := range 5 {
 			id := fmt.Sprint("e", i)
-			p.set(id, Ended)
-			d.Broke(testEndpoint(id), account, fp, time.Now(), 0)
+			p.set(id, Terminated)
+			d.ConnectionLost(testEndpoint(id), account, fp, time.Now(), 0)
 			time.Sleep(servedRetention / 6)
 		}
-		require.True(t, d.Quiet())
+		require.True(t, d.NoSuspects())
 		time.Sleep(2 * servedRetention)
-		d.Broke(testEndpoint("e0"), account, fp, time.Now(), 0)
-		require.False(t, d.Quiet(), "the request may have become a suspect since")
+		d.ConnectionLost(testEndpoint("e0"), account, fp, time.Now(), 0)
+		require.False(t, d.NoSuspects(), "the request may have become a suspect since")
 		time.Sleep(time.Second)
 	})
 }
--- a/pkg/suspect/guard.go
+++ b/pkg/suspect/guard.go
@@ -24,7 +24,7 @@
 
 // Announcer reports crashes to the other VMs.
 type Announcer interface {
-	Announce(report Notice)
+	Announce(report CrashReport)
 }
 
 // Guard applies an entry VM's Table to its requests, and reports the crashes it sees to the other VMs.
@@ -47,7 +47,7 @@
 func (g *Guard) CrashSeen(fingerprint uint64, crash string) {
 	g.table.CrashSeen(time.Now(), fingerprint, crash)
 	if g.announcer != nil {
-		g.announcer.Announce(Notice{Fingerprint: fingerprint, Crash: crash})
+		g.announcer.Announce(CrashReport{Fingerprint: fingerprint, Crash: crash})
 	}
 }
 
@@ -58,7 +58,7 @@
 type ReportArgs struct {
 	// From is the ID of the VM that sends the reports. Only VMs that dispatch directly set it.
 	From    string
-	Notices []Notice
+	Notices []CrashReport
 }
 
 // ReportReply is the empty reply to ReportArgs.
@@ -69,7 +69,7 @@
 
 // ListReply carries the crash reports that a VM holds.
 type ListReply struct {
-	Notices []Notice
+	Notices []CrashReport
 }
 
 // Service is the net/rpc service by which entry VMs report crashes to each other.
@@ -88,12 +88,12 @@
 
 // List returns reports of all crashes that this VM holds against requests.
 func (s *Service) List(_ *ListArgs, reply *ListReply) error {
-	reply.Notices = s.table.Notices(time.Now())
+	reply.Notices = s.table.Reports(time.Now())
 	return nil
 }
 
 // applyReports records the crashes of reports in table, dated back by their age.
-func applyReports(table *Table, reports []Notice) {
+func applyReports(table *Table, reports []CrashReport) {
 	now := time.Now()
 	for _, r := range reports {
 		table.CrashSeen(now.Add(-max(0, r.Age)), r.Fingerprint, r.Crash)
@@ -102,18 +102,18 @@
 
 // PeerAnnouncer is an Announcer that calls all other VMs, in the background.
 type PeerAnnouncer struct {
-	caller peer.Caller
+	caller peer.Client
 	view   membership.View
-	queue  chan Notice
+	queue  chan CrashReport
 }
 
 // NewPeerAnnouncer returns a PeerAnnouncer, which announces nothing until Run is called.
-func NewPeerAnnouncer(caller peer.Caller, view membership.View) *PeerAnnouncer {
-	return &PeerAnnouncer{caller: caller, view: view, queue: make(chan Notice, announceQueueLen)}
+func NewPeerAnnouncer(caller peer.Client, view membership.View) *PeerAnnouncer {
+	return &PeerAnnouncer{caller: caller, view: view, queue: make(chan CrashReport, announceQueueLen)}
 }
 
 // Announce queues a report and does not block. If the queue is full, the report is dropped.
-func (a *PeerAnnouncer) Announce(report Notice) {
+func (a *PeerAnnouncer) Announce(report CrashReport) {
 	select {
 	case a.queue <- report:
 	default:
@@ -133,8 +133,8 @@
 }
 
 // drainQueue returns first and the reports queued behind it.
-func (a *PeerAnnouncer) drainQueue(first Notice) []Notice {
-	reports := []Notice{first}
+func (a *PeerAnnouncer) drainQueue(first CrashReport) []CrashReport {
+	reports := []CrashReport{first}
 	for len(a.queue) > 0 {
 		reports = append(reports, <-a.queue)
 	}
@@ -142,7 +142,7 @@
 }
 
 // broadcast sends the reports to all other VMs.
-func (a *PeerAnnouncer) broadcast(ctx context.Context, reports []Notice) {
+func (a *PeerAnnouncer) broadcast(ctx context.Context, reports []CrashReport) {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	self := a.view.Self().ID
--- a/pkg/suspect/liveness_check.go
+++ b/pkg/suspect/liveness_check.go
@@ -48,7 +48,7 @@
 type affectedRequest struct{ sentAt, lostAt time.Time }
 
 // runCheck probes an endpoint until it is known, or must be presumed, whether it has crashed.
-func (d *Watch) runCheck(c *livenessCheck) {
+func (d *Detector) runCheck(c *livenessCheck) {
 	clock.Sleep(d.ctx, firstProbeDelay)
 	for d.ctx.Err() == nil {
 		if d.finishIfNoneAffected(c, "answered others") {
@@ -57,7 +57,7 @@
 		probedAt := time.Now()
 		liveness := d.probe(c.endpoint)
 		switch {
-		case liveness == Ended:
+		case liveness == Terminated:
 			d.confirmCrash(c, "ended")
 			return
 		case liveness == Alive:
@@ -77,9 +77,9 @@
 }
 
 // probe finds out from the list of endpoints, or from the endpoint itself, whether an incarnation is alive.
-func (d *Watch) probe(e roster.Endpoint) Life {
+func (d *Detector) probe(e roster.Endpoint) Liveness {
 	if d.cfg.Listed(e) == Replaced {
-		return Ended
+		return Terminated
 	}
 	ctx, cancel := context.WithTimeout(d.ctx, probeTimeout)
 	defer cancel()
@@ -87,7 +87,7 @@
 }
 
 // oldestLoss returns when the first connection was lost, of those whose requests are still affected.
-func (d *Watch) oldestLoss(c *livenessCheck) time.Time {
+func (d *Detector) oldestLoss(c *livenessCheck) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	oldest := time.Now()
@@ -101,7 +101,7 @@
 
 // finishIfNoneAffected ends a check in which no affected request is left, since the endpoint is alive. It reports whether it
 // did.
-func (d *Watch) finishIfNoneAffected(c *livenessCheck, why string) bool {
+func (d *Detector) finishIfNoneAffected(c *livenessCheck, why string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(c.affected) > 0 {
@@ -115,7 +115,7 @@
 
 // confirmCrash ends a check with the result that the endpoint has crashed. The crash is not held against requests that were
 // sent after another VM had already seen it: they only met an address that still accepted connections.
-func (d *Watch) confirmCrash(c *livenessCheck, why string) {
+func (d *Detector) confirmCrash(c *livenessCheck, why string) {
 	crash := crashID(c.endpoint)
 	crashedAt := d.reconcileCrashTime(crash, c.firstLost)
 	d.mu.Lock()
@@ -131,20 +131,20 @@
 	d.mu.Unlock()
 	d.metrics.crashed.Inc(1)
 	d.cfg.Log.WithFields(fields).Warn("endpoint crashed or is unresponsive")
-	d.cfg.Told()
+	d.cfg.OnChange()
 }
 
 // closeCheck ends a check. d.mu is held.
-func (d *Watch) closeCheck(c *livenessCheck) {
+func (d *Detector) closeCheck(c *livenessCheck) {
 	delete(d.checks, c.endpoint.Incarnation)
 	d.openChecks.Add(-1)
 	close(c.done)
 }
 
-// AwaitVerdict waits until it is known whether an endpoint incarnation has crashed, but not for longer than
+// AwaitLiveness waits until it is known whether an endpoint incarnation has crashed, but not for longer than
 // maxLivenessWait. After a crash it waits for another peerReportWait, so that reports arrive from other VMs where the same
 // request met a crash.
-func (d *Watch) AwaitVerdict(ctx context.Context, id roster.Incarnation) {
+func (d *Detector) AwaitLiveness(ctx context.Context, id roster.Incarnation) {
 	d.mu.Lock()
 	c := d.checks[id]
 	d.mu.Unlock()
@@ -164,7 +164,7 @@
 }
 
 // crashConfirmed reports whether an endpoint incarnation was found to have crashed.
-func (d *Watch) crashConfirmed(id roster.Incarnation) bool {
+func (d *Detector) crashConfirmed(id roster.Incarnation) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	_, confirmed := d.confirmedCrashes[crashID(roster.Endpoint{Incarnation: id})]
@@ -172,7 +172,7 @@
 }
 
 // logFields returns the log fields for the result of a check. d.mu is held.
-func (d *Watch) logFields(c *livenessCheck, event, why string) logrus.Fields {
+func (d *Detector) logFields(c *livenessCheck, event, why string) logrus.Fields {
 	return logrus.Fields{
 		"event": event, "endpoint": c.endpoint.ID, "started": c.endpoint.Started, "why": why,
 		"requests": len(c.affected), "took": time.Since(c.firstLost).Round(time.Millisecond),
--- a/pkg/suspect/store.go
+++ b/pkg/suspect/store.go
@@ -31,14 +31,14 @@
 type rowTable interface {
 	// Commit applies a transaction.
 	Commit(ctx context.Context, txn platform.Txn) (uint64, error)
-	// Known returns the rows as of the last listing, without a call.
-	Known(prefix string) []platform.Row
+	// Cached returns the rows as of the last listing, without a call.
+	Cached(prefix string) []platform.Row
 }
 
-// Rows keeps refused requests in the platform's table, so that they are known after all VMs have restarted, and to VMs that
+// Store keeps refused requests in the platform's table, so that they are known after all VMs have restarted, and to VMs that
 // reach the table but no other VM. Nothing is written while no request is refused.
-type Rows struct {
-	syncer *Share
+type Store struct {
+	syncer *Syncer
 	rows   rowTable
 	now    func() time.Time
 	// stored are the requests that the table holds; deleted are the versions, by key, of rows that this VM has deleted or found
@@ -55,18 +55,18 @@
 	Seen    time.Time `json:"seen"`
 }
 
-// NewRows returns a store for the refused requests of syncer, in the platform's table.
-func NewRows(syncer *Share, rows rowTable) *Rows {
-	return &Rows{syncer: syncer, rows: rows, now: time.Now, stored: map[uint64]bool{}, deleted: map[string]uint64{}}
+// NewStore returns a store for the refused requests of syncer, in the platform's table.
+func NewStore(syncer *Syncer, rows rowTable) *Store {
+	return &Store{syncer: syncer, rows: rows, now: time.Now, stored: map[uint64]bool{}, deleted: map[string]uint64{}}
 }
 
 // Run keeps the rows and the crash reports of this VM consistent until ctx ends.
-func (s *Rows) Run(ctx context.Context) {
+func (s *Store) Run(ctx context.Context) {
 	clock.Every(ctx, rowInterval, func(time.Time) { s.syncOnce(ctx) })
 }
 
 // syncOnce applies the rows that are known, and deletes or writes at most one row.
-func (s *Rows) syncOnce(ctx context.Context) {
+func (s *Store) syncOnce(ctx context.Context) {
 	obsolete, found := s.applyRows()
 	if found {
 		s.deleteRow(ctx, obsolete)
@@ -79,8 +79,8 @@
 
 // applyRows applies the rows that have not been applied yet. It returns a row to delete, if there is one: a malformed row, or
 // one whose crashes are no longer held against the request, which would be refused again once a VM restarts.
-func (s *Rows) applyRows() (obsolete platform.Row, found bool) {
-	for _, row := range s.rows.Known(rowPrefix) {
+func (s *Store) applyRows() (obsolete platform.Row, found bool) {
+	for _, row := range s.rows.Cached(rowPrefix) {
 		if s.deleted[row.Key] == row.Version {
 			continue
 		}
@@ -102,9 +102,9 @@
 			continue
 		}
 		s.stored[fingerprint] = true
-		var reports []Notice
+		var reports []CrashReport
 		for _, crash := range req.Crashes {
-			reports = append(reports, Notice{Account: req.Account, Fingerprint: fingerprint, Crash: crash, Age: age})
+			reports = append(reports, CrashReport{Account: req.Account, Fingerprint: fingerprint, Crash: crash, Age: age})
 		}
 		s.syncer.apply("table", reports)
 		// Only a few VMs list the table. They report the request to the others as if they had seen it themselves.
@@ -127,7 +127,7 @@
 }
 
 // nextUnstored returns a refused request that has no row yet and that this VM has to write.
-func (s *Rows) nextUnstored() (uint64, storedRequest, bool) {
+func (s *Store) nextUnstored() (uint64, storedRequest, bool) {
 	members := s.syncer.members()
 	for fingerprint, reports := range s.syncer.reportsByRequest() {
 		if len(reports) < s.syncer.table.limits.Crashes || s.stored[fingerprint] || !s.syncer.shouldStore(members, fingerprint) {
@@ -144,7 +144,7 @@
 
 // shouldStore reports whether this VM writes the row of a refused request: it is the first home of the request, or a call to
 // that home has failed recently.
-func (s *Share) shouldStore(members []membership.Member, fingerprint uint64) bool {
+func (s *Syncer) shouldStore(members []membership.Member, fingerprint uint64) bool {
 	homes := homesOf(members, fingerprint)
 	if len(homes) == 0 || homes[0] == s.self {
 		return true
@@ -156,13 +156,13 @@
 }
 
 // write writes the row of a refused request.
-func (s *Rows) write(ctx context.Context, fingerprint uint64, req storedRequest) {
+func (s *Store) write(ctx context.Context, fingerprint uint64, req storedRequest) {
 	value, err := json.Marshal(req)
 	if err != nil {
 		s.syncer.log.WithError(err).WithField("event", "suspect_not_stored").Error("could not encode refused request")
 		return
 	}
-	key := rowPrefix + Text(fingerprint)
+	key := rowPrefix + FormatFingerprint(fingerprint)
 	err = s.commit(ctx, platform.Txn{
 		Conditions: []platform.Condition{{Key: key}},
 		Writes:     []platform.Write{{Key: key, Value: value}},
@@ -170,14 +170,14 @@
 	// A conflict means that the row exists already, with the same content.
 	if err == nil || errors.Is(err, platform.ErrConflict) {
 		s.stored[fingerprint] = true
-		s.syncer.log.WithFields(logrus.Fields{"event": "suspect_stored", "fingerprint": Text(fingerprint)}).Info("refused request is stored")
+		s.syncer.log.WithFields(logrus.Fields{"event": "suspect_stored", "fingerprint": FormatFingerprint(fingerprint)}).Info("refused request is stored")
 		return
 	}
-	s.syncer.log.WithError(err).WithFields(logrus.Fields{"event": "suspect_not_stored", "fingerprint": Text(fingerprint)}).Warn("could not store refused request")
+	s.syncer.log.WithError(err).WithFields(logrus.Fields{"event": "suspect_not_stored", "fingerprint": FormatFingerprint(fingerprint)}).Warn("could not store refused request")
 }
 
 // deleteRow deletes a row.
-func (s *Rows) deleteRow(ctx context.Context, obsolete platform.Row) {
+func (s *Store) deleteRow(ctx context.Context, obsolete platform.Row) {
 	err := s.commit(ctx, platform.Txn{
 		Conditions: []platform.Condition{{Key: obsolete.Key, Version: obsolete.Version}},
 		Writes:     []platform.Write{{Key: obsolete.Key, Delete: true}},
@@ -190,7 +190,7 @@
 }
 
 // commit applies a transaction under a new attempt ID.
-func (s *Rows) commit(ctx context.Context, txn platform.Txn) error {
+func (s *Store) commit(ctx context.Context, txn platform.Txn) error {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	txn.Attempt = uuid.NewString()
