--- a/pkg/suspect/syncer.go
+++ b/pkg/suspect/syncer.go
@@ -36,15 +36,15 @@
 	sweepInterval = 5 * time.Second
 )
 
-// Share exchanges crash reports with the other VMs that dispatch directly. Each request has homesPerRequest home VMs, chosen
+// Syncer exchanges crash reports with the other VMs that dispatch directly. Each request has homesPerRequest home VMs, chosen
 // by rendezvous hash, which count its crashes for the whole fleet and notify all VMs of a request with several crashes. What
 // was sent is remembered for each incarnation of a VM. What could not be sent is sent later: to VMs that were unreachable,
 // have just started, or were paused. All methods are safe for concurrent use.
-type Share struct {
+type Syncer struct {
 	self     string
 	table    *Table
-	detector *Watch
-	caller   peer.Caller
+	detector *Detector
+	caller   peer.Client
 	members  func() []membership.Member
 	log      logrus.FieldLogger
 	wake     chan struct{}
@@ -70,18 +70,18 @@
 	cleared bool
 }
 
-// NewShare returns the syncer of the VM with the ID self. members returns all known VMs.
-func NewShare(self string, table *Table, caller peer.Caller, members func() []membership.Member, log logrus.FieldLogger) *Share {
-	return &Share{
+// NewSyncer returns the syncer of the VM with the ID self. members returns all known VMs.
+func NewSyncer(self string, table *Table, caller peer.Client, members func() []membership.Member, log logrus.FieldLogger) *Syncer {
+	return &Syncer{
 		self: self, table: table, caller: caller, members: members, log: log, wake: make(chan struct{}, 1),
 		sent: map[peerIncarnation]map[uint64]summary{}, lastFailure: map[peerIncarnation]time.Time{}, inFlight: map[peerIncarnation]bool{}, crashTimes: map[string]time.Time{},
 		callSlots: make(chan struct{}, maxParallelCalls),
 	}
 }
 
-// Follow connects s to the detector whose crashes it reports. From then on, trials of a refused request are decided by the
+// Attach connects s to the detector whose crashes it reports. From then on, trials of a refused request are decided by the
 // first home of the request only. It must be called before Run.
-func (s *Share) Follow(d *Watch) {
+func (s *Syncer) Attach(d *Detector) {
 	s.detector = d
 	d.decidesTrials = func(fingerprint uint64) bool {
 		homes := homesOf(s.members(), fingerprint)
@@ -91,7 +91,7 @@
 }
 
 // Wake signals that there may be something to report. It does not block.
-func (s *Share) Wake() {
+func (s *Syncer) Wake() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -99,7 +99,7 @@
 }
 
 // Run sends reports to the other VMs until ctx ends.
-func (s *Share) Run(ctx context.Context) {
+func (s *Syncer) Run(ctx context.Context) {
 	go clock.Every(ctx, sweepInterval, s.detector.Sweep)
 	ticker := time.NewTicker(syncPollInterval)
 	defer ticker.Stop()
@@ -119,7 +119,7 @@
 }
 
 // forgetSent discards what was sent, once the table is empty.
-func (s *Share) forgetSent() {
+func (s *Syncer) forgetSent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	clear(s.sent)
@@ -127,7 +127,7 @@
 }
 
 // sendPending sends each VM the reports that it has not yet received.
-func (s *Share) sendPending(ctx context.Context) {
+func (s *Syncer) sendPending(ctx context.Context) {
 	members := s.members()
 	known := s.reportsByRequest()
 	homes := make(map[uint64][]string, len(known))
@@ -152,14 +152,14 @@
 
 // pendingReports returns the reports to send to a VM. If there are any, it marks a call to the VM as in flight: no other is
 // made until that ends.
-func (s *Share) pendingReports(to membership.Member, known map[uint64][]Notice, homes map[uint64][]string) []Notice {
+func (s *Syncer) pendingReports(to membership.Member, known map[uint64][]CrashReport, homes map[uint64][]string) []CrashReport {
 	id := peerIncarnation{to.ID, to.Incarnation}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if to.ID == s.self || to.Gone || s.inFlight[id] || time.Since(s.lastFailure[id]) < syncRetryDelay {
 		return nil
 	}
-	var batch []Notice
+	var batch []CrashReport
 	for fingerprint, reports := range known {
 		current := summarize(reports)
 		last, ok := s.sent[id][fingerprint]
@@ -175,11 +175,11 @@
 }
 
 // reportsByRequest returns all reports that other VMs may receive, by fingerprint.
-func (s *Share) reportsByRequest() map[uint64][]Notice {
-	byRequest := map[uint64][]Notice{}
+func (s *Syncer) reportsByRequest() map[uint64][]CrashReport {
+	byRequest := map[uint64][]CrashReport{}
 	// The unconfirmed crashes are looked up before the table: a crash retracted in between must not be reported.
 	unconfirmed := s.detector.unconfirmedCrashes()
-	for _, r := range s.table.Notices(time.Now()) {
+	for _, r := range s.table.Reports(time.Now()) {
 		if r.Cleared || !unconfirmed[r.Crash] {
 			byRequest[r.Fingerprint] = append(byRequest[r.Fingerprint], r)
 		}
@@ -188,7 +188,7 @@
 }
 
 // summarize sums up the reports on one request, of which there must be at least one.
-func summarize(reports []Notice) summary {
+func summarize(reports []CrashReport) summary {
 	if reports[0].Cleared {
 		return summary{cleared: true}
 	}
@@ -197,7 +197,7 @@
 
 // shouldReport reports whether this VM sends its reports on a request to the given VM. The homes of the request receive them
 // from VMs that have seen something themselves, and from each other; all other VMs receive them from the homes.
-func (s *Share) shouldReport(vm string, homes []string, reports []Notice) bool {
+func (s *Syncer) shouldReport(vm string, homes []string, reports []CrashReport) bool {
 	state, home := summarize(reports), slices.Contains(homes, s.self)
 	if slices.Contains(homes, vm) && (home || reports[0].Witnessed) {
 		return true
@@ -210,7 +210,7 @@
 func homesOf(members []membership.Member, fingerprint uint64) []string {
 	var best [homesPerRequest]uint64
 	homes := make([]string, 0, homesPerRequest)
-	text := Text(fingerprint)
+	text := FormatFingerprint(fingerprint)
 	for _, m := range members {
 		if m.Gone {
 			continue
@@ -231,7 +231,7 @@
 }
 
 // send sends a batch of reports to a VM, and applies the reports that it returns on the same requests.
-func (s *Share) send(ctx context.Context, m membership.Member, batch []Notice) {
+func (s *Syncer) send(ctx context.Context, m membership.Member, batch []CrashReport) {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	id := peerIncarnation{m.ID, m.Incarnation}
@@ -248,7 +248,7 @@
 	if s.sent[id] == nil {
 		s.sent[id] = map[uint64]summary{}
 	}
-	byRequest := map[uint64][]Notice{}
+	byRequest := map[uint64][]CrashReport{}
 	for _, r := range batch {
 		byRequest[r.Fingerprint] = append(byRequest[r.Fingerprint], r)
 	}
@@ -260,7 +260,7 @@
 
 // apply records reports from another VM. from is its ID, or "table" if they were read from the platform's table. A crash is
 // not held against a request that this VM has recently served: a clearance is recorded and reported instead.
-func (s *Share) apply(from string, reports []Notice) {
+func (s *Syncer) apply(from string, reports []CrashReport) {
 	now := time.Now()
 	changed := false
 	for _, r := range reports {
@@ -272,7 +272,7 @@
 		case s.detector.served.contains(r.Fingerprint, now):
 			s.table.RecordClearance(now, r.Account, r.Fingerprint)
 		default:
-			s.table.Accuse(at, r.Account, r.Fingerprint, r.Crash)
+			s.table.AddReportedCrash(at, r.Account, r.Fingerprint, r.Crash)
 		}
 		after := s.summaryOf(now, r.Fingerprint)
 		if after == before {
@@ -280,7 +280,7 @@
 		}
 		changed = true
 		s.log.WithFields(logrus.Fields{
-			"event": "suspect_told", "from": from, "fingerprint": Text(r.Fingerprint), "account": r.Account,
+			"event": "suspect_told", "from": from, "fingerprint": FormatFingerprint(r.Fingerprint), "account": r.Account,
 			"crash": r.Crash, "cleared": r.Cleared, "crashes": after.crashes, "age": r.Age.Round(time.Millisecond),
 		}).Info("crash report changed the state of a request")
 	}
@@ -290,7 +290,7 @@
 }
 
 // summaryOf returns the state of a request; it is empty if nothing is known of it.
-func (s *Share) summaryOf(now time.Time, fingerprint uint64) summary {
+func (s *Syncer) summaryOf(now time.Time, fingerprint uint64) summary {
 	if held := s.table.ReportsOf(now, fingerprint); len(held) > 0 {
 		return summarize(held)
 	}
@@ -298,7 +298,7 @@
 }
 
 // forgetDeparted discards what was sent to VM incarnations that no longer exist.
-func (s *Share) forgetDeparted(members []membership.Member) {
+func (s *Syncer) forgetDeparted(members []membership.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	live := map[peerIncarnation]bool{}
@@ -310,10 +310,10 @@
 }
 
 // SyncService is the net/rpc service by which VMs that dispatch directly exchange crash reports.
-type SyncService struct{ syncer *Share }
+type SyncService struct{ syncer *Syncer }
 
 // Service returns the service to register with net/rpc under ServiceName.
-func (s *Share) Service() *SyncService { return &SyncService{s} }
+func (s *Syncer) Service() *SyncService { return &SyncService{s} }
 
 // Tell records the reports of another VM, and returns this VM's reports on the same requests.
 func (s *SyncService) Tell(args *ReportArgs, reply *ListReply) error {
--- a/pkg/suspect/syncer_test.go
+++ b/pkg/suspect/syncer_test.go
@@ -53,8 +53,8 @@
 type testVM struct {
 	id, incarnation string
 	fleet           *testFleet
-	detector        *Watch
-	syncer          *Share
+	detector        *Detector
+	syncer          *Syncer
 	stop            context.CancelFunc
 }
 
@@ -81,9 +81,9 @@
 	log, _ := test.NewNullLogger()
 	vm := &testVM{id: fmt.Sprint("vm", i), incarnation: fmt.Sprint(time.Now().UnixNano()), fleet: f, stop: cancel}
 	vm.detector = newTestDetector(f.t, f.endpoints)
-	vm.syncer = NewShare(vm.id, vm.detector.cfg.Table, vm, f.members, log)
-	vm.detector.cfg.Told = vm.syncer.Wake
-	vm.syncer.Follow(vm.detector)
+	vm.syncer = NewSyncer(vm.id, vm.detector.cfg.Table, vm, f.members, log)
+	vm.detector.cfg.OnChange = vm.syncer.Wake
+	vm.syncer.Attach(vm.detector)
 	f.mu.Lock()
 	if old := f.vms[i]; old != nil {
 		old.stop()
@@ -91,7 +91,7 @@
 	f.vms[i] = vm
 	f.mu.Unlock()
 	go vm.syncer.Run(ctx)
-	go NewRows(vm.syncer, vm).Run(ctx)
+	go NewStore(vm.syncer, vm).Run(ctx)
 }
 
 func (f *testFleet) members() []membership.Member {
@@ -127,8 +127,8 @@
 	return target.syncer.Service().Tell(args.(*ReportArgs), reply.(*ListReply))
 }
 
-// Known implements rowTable.
-func (vm *testVM) Known(string) []platform.Row {
+// Cached implements rowTable.
+func (vm *testVM) Cached(string) []platform.Row {
 	f := vm.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -166,8 +166,8 @@
 
 // crash makes an endpoint crash while it runs a request of the VM.
 func (f *testFleet) crash(vm int, id string, fingerprint uint64) {
-	f.endpoints.set(id, Ended)
-	f.vms[vm].detector.Broke(testEndpoint(id), account, fingerprint, time.Now(), 0)
+	f.endpoints.set(id, Terminated)
+	f.vms[vm].detector.ConnectionLost(testEndpoint(id), account, fingerprint, time.Now(), 0)
 }
 
 // update changes the fleet under mu.
@@ -299,7 +299,7 @@
 		f.requireAll(Allow, fp)
 		time.Sleep(2 * clearanceRetention)
 		for _, vm := range f.vms {
-			require.True(t, vm.detector.Quiet(), vm.id)
+			require.True(t, vm.detector.NoSuspects(), vm.id)
 		}
 	})
 }
@@ -357,7 +357,7 @@
 		old, err := json.Marshal(storedRequest{Crashes: []string{"a", "b", "c"}, Seen: time.Now().Add(-2 * DirectRetention)})
 		require.NoError(t, err)
 		f.update(func() {
-			f.rows[rowPrefix+Text(fp)] = platform.Row{Key: rowPrefix + Text(fp), Version: 1, Value: old}
+			f.rows[rowPrefix+FormatFingerprint(fp)] = platform.Row{Key: rowPrefix + FormatFingerprint(fp), Version: 1, Value: old}
 			f.rows[rowPrefix+"x"] = platform.Row{Key: rowPrefix + "x", Version: 2, Value: []byte("{}")}
 			f.rows[rowPrefix+"1"] = platform.Row{Key: rowPrefix + "1", Version: 3, Value: []byte("[")}
 		})
@@ -428,10 +428,10 @@
 			id := fmt.Sprint("e", i)
 			sent := time.Now()
 			time.Sleep(5 * time.Millisecond)
-			f.vms[0].detector.Broke(testEndpoint(id), account, fp, sent, 0)
+			f.vms[0].detector.ConnectionLost(testEndpoint(id), account, fp, sent, 0)
 			time.Sleep(100 * time.Millisecond)
 			for n := range 20 {
-				f.vms[n%4].detector.Broke(testEndpoint(id), account, fp+1, time.Now(), 0)
+				f.vms[n%4].detector.ConnectionLost(testEndpoint(id), account, fp+1, time.Now(), 0)
 			}
 			time.Sleep(presumeCrashedAfter + probeInterval + syncDeadline)
 		}
--- a/pkg/suspect/table.go
+++ b/pkg/suspect/table.go
@@ -28,8 +28,8 @@
 	// DirectCrashes is the number of crashes from which a request is refused by VMs that dispatch directly. They cannot
 	// always keep other requests away from a suspect, so that an innocent request may be in flight at two crashes by chance.
 	DirectCrashes = 3
-	// DefaultMemory is how long a crash is held against a request.
-	DefaultMemory = 10 * time.Minute
+	// DefaultRetention is how long a crash is held against a request.
+	DefaultRetention = 10 * time.Minute
 	// DirectRetention is how long VMs that dispatch directly hold a crash against a request. It is longer because the request
 	// may crash DirectCrashes endpoints again each time it expires.
 	DirectRetention = time.Hour
@@ -49,7 +49,7 @@
 
 // OwnerLimits returns the limits for owners of endpoint groups and for the entry VMs that pass requests on to them.
 func OwnerLimits() Limits {
-	return Limits{Crashes: MaxCrashes, Retention: DefaultMemory, Entries: DefaultEntries}
+	return Limits{Crashes: MaxCrashes, Retention: DefaultRetention, Entries: DefaultEntries}
 }
 
 // DirectLimits returns the limits for VMs that dispatch directly.
@@ -198,12 +198,12 @@
 // CrashSeen records a crash against the request, without a client account. The same crash counts once. It returns the number
 // of crashes held against the request.
 func (t *Table) CrashSeen(now time.Time, fingerprint uint64, crash string) int {
-	return t.Accuse(now, "", fingerprint, crash)
+	return t.AddReportedCrash(now, "", fingerprint, crash)
 }
 
-// Accuse records a crash that another VM has reported, for a request of the client account. It returns the number of
+// AddReportedCrash records a crash that another VM has reported, for a request of the client account. It returns the number of
 // crashes held against the request. In a full table, the account with the most suspects loses its oldest one.
-func (t *Table) Accuse(now time.Time, account string, fingerprint uint64, crash string) int {
+func (t *Table) AddReportedCrash(now time.Time, account string, fingerprint uint64, crash string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, _ := t.addCrash(now, account, fingerprint, crash)
@@ -304,8 +304,8 @@
 	t.deleteIfEmpty(fingerprint, e)
 }
 
-// Notice reports one crash held against a request or, if Cleared is set, that the request received a complete response.
-type Notice struct {
+// CrashReport reports one crash held against a request or, if Cleared is set, that the request received a complete response.
+type CrashReport struct {
 	Account     string
 	Fingerprint uint64
 	Crash       string
@@ -316,11 +316,11 @@
 	Age time.Duration
 }
 
-// Notices returns reports of the crashes and clearances of all requests.
-func (t *Table) Notices(now time.Time) []Notice {
+// Reports returns reports of the crashes and clearances of all requests.
+func (t *Table) Reports(now time.Time) []CrashReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var list []Notice
+	var list []CrashReport
 	for fingerprint, e := range t.entries {
 		list = append(list, t.reportsOf(now, fingerprint, e)...)
 	}
@@ -328,7 +328,7 @@
 }
 
 // ReportsOf returns reports of the crashes of one request, or of its clearance.
-func (t *Table) ReportsOf(now time.Time, fingerprint uint64) []Notice {
+func (t *Table) ReportsOf(now time.Time, fingerprint uint64) []CrashReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.lookup(now, fingerprint); e != nil {
@@ -338,16 +338,16 @@
 }
 
 // reportsOf returns reports of the crashes of e, or of its clearance. The caller holds mu.
-func (t *Table) reportsOf(now time.Time, fingerprint uint64, e *entry) []Notice {
+func (t *Table) reportsOf(now time.Time, fingerprint uint64, e *entry) []CrashReport {
 	if len(e.crashes) > 0 && now.Sub(e.lastCrash) >= t.limits.Retention {
 		return nil
 	}
-	var list []Notice
+	var list []CrashReport
 	for _, crash := range e.crashes {
-		list = append(list, Notice{Account: e.account, Fingerprint: fingerprint, Crash: crash, Witnessed: e.observed, Age: now.Sub(e.lastCrash)})
+		list = append(list, CrashReport{Account: e.account, Fingerprint: fingerprint, Crash: crash, Witnessed: e.observed, Age: now.Sub(e.lastCrash)})
 	}
 	if len(list) == 0 && !e.clearedAt.IsZero() {
-		list = append(list, Notice{Account: e.account, Fingerprint: fingerprint, Cleared: true, Witnessed: e.observed, Age: now.Sub(e.clearedAt)})
+		list = append(list, CrashReport{Account: e.account, Fingerprint: fingerprint, Cleared: true, Witnessed: e.observed, Age: now.Sub(e.clearedAt)})
 	}
 	return list
 }
--- a/pkg/suspect/table_test.go
+++ b/pkg/suspect/table_test.go
@@ -56,7 +56,7 @@
 		table.CrashSeen(time.Unix(int64(i), 0), uint64(i), "e/1")
 	}
 	require.Len(t, table.entries, 10)
-	require.Len(t, table.Notices(time.Unix(100, 0)), 10)
+	require.Len(t, table.Reports(time.Unix(100, 0)), 10)
 }
 
 // TestAtMostTwoEndpointsLost sends copies of a request that crashes every endpoint, in any order and at any time, to a
@@ -97,12 +97,12 @@
 func TestNoAccountDisplacesOthers(t *testing.T) {
 	table := NewTable(Limits{Crashes: MaxCrashes, Retention: time.Hour, Entries: 10})
 	at := func(i int) time.Time { return time.Unix(int64(i), 0) }
-	table.Accuse(at(0), "quiet", fp, "e/1")
+	table.AddReportedCrash(at(0), "quiet", fp, "e/1")
 	for i := range 100 {
-		table.Accuse(at(i+1), "flood", uint64(100+i), "e/1")
+		table.AddReportedCrash(at(i+1), "flood", uint64(100+i), "e/1")
 	}
-	table.Accuse(at(200), "third", fp+1, "e/1")
-	require.Len(t, table.Notices(at(200)), 10)
+	table.AddReportedCrash(at(200), "third", fp+1, "e/1")
+	require.Len(t, table.Reports(at(200)), 10)
 	require.Len(t, table.ReportsOf(at(200), fp), 1)
 	require.Len(t, table.ReportsOf(at(200), fp+1), 1)
 }
@@ -112,11 +112,11 @@
 func TestLateReportsDoNotUndoAClearance(t *testing.T) {
 	table := NewTable(DirectLimits())
 	at := func(i int) time.Time { return time.Unix(int64(i), 0) }
-	table.Accuse(at(1), account, fp, "e1/1")
+	table.AddReportedCrash(at(1), account, fp, "e1/1")
 	require.True(t, table.Clear(at(3), fp))
 	require.False(t, table.Clear(at(3), fp))
-	require.Zero(t, table.Accuse(at(2), account, fp, "e2/1"))
-	require.Equal(t, 1, table.Accuse(at(4), account, fp, "e3/1"))
+	require.Zero(t, table.AddReportedCrash(at(2), account, fp, "e2/1"))
+	require.Equal(t, 1, table.AddReportedCrash(at(4), account, fp, "e3/1"))
 	table.Retract(fp, "e3/1")
 	require.Len(t, table.ReportsOf(at(5), fp), 1, "another VM has reported it")
 	table.Clear(at(5), fp)
@@ -125,7 +125,7 @@
 	decision, _ := table.Admit(at(6), fp)
 	require.Equal(t, Allow, decision)
 	table.AddObservedCrash(at(7), account, fp, "e4/1")
-	table.Accuse(at(7), account, fp, "e4/1")
+	table.AddReportedCrash(at(7), account, fp, "e4/1")
 	table.Retract(fp, "e4/1")
 	require.Len(t, table.ReportsOf(at(7), fp), 1, "another VM has reported it as well")
 }
--- a/pkg/tokenbucket/bucket.go
+++ b/pkg/tokenbucket/bucket.go
@@ -107,9 +107,9 @@
 // Level returns the tokens that can be granted now.
 func (b *Bucket) Level() float64 { return b.level }
 
-// Settled reports whether the tokens held by every VM are known: each has reported or its tokens
+// AllReported reports whether the tokens held by every VM are known: each has reported or its tokens
 // have expired.
-func (b *Bucket) Settled() bool { return len(b.unreported) == 0 }
+func (b *Bucket) AllReported() bool { return len(b.unreported) == 0 }
 
 // key identifies one process in Bucket.holdings.
 func key(vm, incarnation string) string { return vm + "/" + incarnation }
@@ -158,8 +158,8 @@
 	b.headroom.reset(now)
 }
 
-// Reported records the tokens of earlier buckets that a VM holds. They expire before expires.
-func (b *Bucket) Reported(vm, incarnation string, held int64, now, expires time.Time) {
+// RecordHeld records the tokens of earlier buckets that a VM holds. They expire before expires.
+func (b *Bucket) RecordHeld(vm, incarnation string, held int64, now, expires time.Time) {
 	if !b.unreported[vm] {
 		return
 	}
@@ -256,7 +256,7 @@
 // refund puts back tokens that were not used, as far as the bucket has had room for them at every
 // moment since they were spent. Its level is then the same as if they had never been spent.
 func (b *Bucket) refund(refunds []Refund) {
-	if !b.Settled() {
+	if !b.AllReported() {
 		return
 	}
 	for _, r := range refunds {
--- a/pkg/tokenbucket/bucket_test.go
+++ b/pkg/tokenbucket/bucket_test.go
@@ -93,7 +93,7 @@
 // all, report the tokens that they hold.
 func (tb *testbed) replaceBucket() {
 	level := 0.0
-	if tb.rnd.Intn(2) == 0 && tb.bucket.Settled() {
+	if tb.rnd.Intn(2) == 0 && tb.bucket.AllReported() {
 		tb.bucket.Advance(tb.now)
 		level = tb.bucket.Level()
 	}
@@ -105,7 +105,7 @@
 	for i, p := range tb.processes {
 		p.stamp = 0
 		if tb.rnd.Intn(4) > 0 {
-			tb.bucket.Reported(vms[i], "", p.held, tb.now, tb.now.Add(tokenLifetime+expiryMargin))
+			tb.bucket.RecordHeld(vms[i], "", p.held, tb.now, tb.now.Add(tokenLifetime+expiryMargin))
 		}
 	}
 }
--- a/pkg/upstream/conn.go
+++ b/pkg/upstream/conn.go
@@ -59,7 +59,7 @@
 	if c.headBytesLeft > 0 {
 		c.headBytesLeft -= n
 	}
-	if Ended(err) {
+	if ConnectionClosed(err) {
 		c.closeErr = err
 	}
 	return n, err
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -67,10 +67,10 @@
 
 // Events holds callbacks for events while a request is sent. Each may be nil.
 type Events struct {
-	// Dialed is called for each new connection.
-	Dialed func()
-	// Leaving is called when an endpoint has said in a response that it is about to terminate.
-	Leaving func(Target)
+	// OnDial is called for each new connection.
+	OnDial func()
+	// OnLeaving is called when an endpoint has said in a response that it is about to terminate.
+	OnLeaving func(Target)
 }
 
 // NewClient returns a Client that takes its connections from the pools.
@@ -80,7 +80,7 @@
 
 // Send sends the request and returns once the head of its response has arrived. When ctx ends, the
 // connection is closed. The error is an *Error. The calling code must close the response.
-func (c *Client) Send(ctx context.Context, target Target, req Request) (*Answer, error) {
+func (c *Client) Send(ctx context.Context, target Target, req Request) (*Response, error) {
 	now := time.Now()
 	cn := c.pools.take(target, now)
 	if cn == nil {
@@ -88,16 +88,16 @@
 		if cn, err = c.pools.dial(ctx, target); err != nil {
 			return nil, &Error{Err: err}
 		}
-		if c.events.Dialed != nil {
-			c.events.Dialed()
+		if c.events.OnDial != nil {
+			c.events.OnDial()
 		}
 	}
 	return c.exchange(ctx, target, cn, req)
 }
 
 // exchange sends the request over the connection and reads the head of its response.
-func (c *Client) exchange(ctx context.Context, target Target, cn *conn, req Request) (*Answer, error) {
-	a := &Answer{client: c, target: target, conn: cn}
+func (c *Client) exchange(ctx context.Context, target Target, cn *conn, req Request) (*Response, error) {
+	a := &Response{client: c, target: target, conn: cn}
 	a.stopWatch = context.AfterFunc(ctx, func() { _ = cn.Close() })
 	if err := writeRequest(cn, req); err != nil {
 		a.abandon()
@@ -152,11 +152,11 @@
 	return err
 }
 
-// Answer is an endpoint's response, of which the body is read with Read. It is not safe for concurrent use.
-type Answer struct {
+// Response is an endpoint's response, of which the body is read with Read. It is not safe for concurrent use.
+type Response struct {
 	Status  int
 	Header  http.Header
-	Verdict dialect.Verdict
+	Verdict dialect.ResponseInfo
 	// Length is the length of the body in bytes, or -1 if the header does not state it.
 	Length int64
 
@@ -174,12 +174,12 @@
 }
 
 // readHead reads the head of the response and skips stray responses.
-func (a *Answer) readHead(req Request) error {
+func (a *Response) readHead(req Request) error {
 	for range maxStrayResponses {
 		a.conn.headBytesLeft = maxHeadBytes
 		resp, err := http.ReadResponse(a.conn.reader, &http.Request{Method: req.Method})
 		a.conn.headBytesLeft = -1
-		if err != nil && a.conn.closeErr != nil && !Ended(err) {
+		if err != nil && a.conn.closeErr != nil && !ConnectionClosed(err) {
 			// The connection ended within the head, and the part that arrived is malformed: the end of the
 			// connection is the cause.
 			return errors.Wrapf(a.conn.closeErr, "read head: %v", err)
@@ -204,9 +204,9 @@
 // reportLeaving fires the leaving event if the response says that the endpoint is about to terminate. Only a response
 // that names the request is the endpoint's own. A misdirected request was answered by another endpoint at the
 // address, whose response says nothing about the endpoint addressed.
-func (c *Client) reportLeaving(target Target, v dialect.Verdict, id string) {
-	if v.Leaving && v.RequestID == id && !v.Misdirected && c.events.Leaving != nil {
-		c.events.Leaving(target)
+func (c *Client) reportLeaving(target Target, v dialect.ResponseInfo, id string) {
+	if v.Leaving && v.RequestID == id && !v.Misdirected && c.events.OnLeaving != nil {
+		c.events.OnLeaving(target)
 	}
 }
 
@@ -230,7 +230,7 @@
 var errBodyTooLarge = errors.Errorf("response body without a stated length exceeds %d bytes", maxUnstatedLength)
 
 // Read reads from the body. It returns io.EOF only at the end of a complete body.
-func (a *Answer) Read(p []byte) (int, error) {
+func (a *Response) Read(p []byte) (int, error) {
 	n, err := a.resp.Body.Read(p)
 	if a.bodyRead += int64(n); a.Length < 0 && a.bodyRead > maxUnstatedLength {
 		return 0, errBodyTooLarge
@@ -243,7 +243,7 @@
 
 // Close releases the connection of the response. The connection is kept for further requests if the body was
 // read to its end and the endpoint keeps the connection open too, and is closed otherwise.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if !a.stopWatch() || !a.reusable() {
 		_ = a.conn.Close()
 		return
@@ -255,13 +255,13 @@
 
 // reusable reports whether the connection is in a state to carry another request: the response has been read to
 // a stated end, the endpoint keeps the connection open, and no further bytes have arrived.
-func (a *Answer) reusable() bool {
+func (a *Response) reusable() bool {
 	framed := a.Length >= 0 || len(a.resp.TransferEncoding) > 0
 	return a.complete && framed && !a.resp.Close && !a.Verdict.Closes && a.conn.reader.Buffered() == 0
 }
 
 // abandon closes the connection of a request that has failed.
-func (a *Answer) abandon() {
+func (a *Response) abandon() {
 	a.stopWatch()
 	_ = a.conn.Close()
 }
--- a/pkg/upstream/upstream_test.go
+++ b/pkg/upstream/upstream_test.go
@@ -19,8 +19,8 @@
 // testDialect reads only the headers that these tests use.
 type testDialect struct{ dialect.Dialect }
 
-func (testDialect) Judge(status int, h http.Header) dialect.Verdict {
-	return dialect.Verdict{
+func (testDialect) Judge(status int, h http.Header) dialect.ResponseInfo {
+	return dialect.ResponseInfo{
 		RequestID: h.Get("Id"), NotRun: status == http.StatusServiceUnavailable, Misdirected: status == http.StatusMisdirectedRequest,
 		Signed: true, Leaving: h.Get("Going") != "",
 	}
@@ -123,7 +123,7 @@
 	}
 }
 
-func readAll(t *testing.T, a *Answer) string {
+func readAll(t *testing.T, a *Response) string {
 	data, err := io.ReadAll(a)
 	require.NoError(t, err)
 	a.Close()
@@ -348,9 +348,9 @@
 		_, err := newClient(t).Send(ctx, e.target(), request("a"))
 		cancel()
 		require.Error(t, err, name)
-		require.Equal(t, c.ended, Ended(err), "%s: %v", name, err)
+		require.Equal(t, c.ended, ConnectionClosed(err), "%s: %v", name, err)
 	}
-	require.False(t, Ended(nil))
+	require.False(t, ConnectionClosed(nil))
 }
 
 // An endpoint counts as leaving only by its own response to the request. Responses without the request's
@@ -373,7 +373,7 @@
 		})
 		pools := NewPools()
 		reported := 0
-		client := NewClient(pools, testDialect{}, Events{Leaving: func(target Target) {
+		client := NewClient(pools, testDialect{}, Events{OnLeaving: func(target Target) {
 			require.Equal(t, e.target(), target)
 			reported++
 		}})
--- a/test/soak/callers_test.go
+++ b/test/soak/callers_test.go
@@ -205,12 +205,12 @@
 	// Without it, the client would send the request again by itself.
 	req.GetBody = nil
 	req.Host = hostName
-	asked := standin.Request{ID: a.id, Key: a.key, Account: "forged", Patience: a.kind.budget}
+	asked := standin.Request{ID: a.id, Key: a.key, Account: "forged", Timeout: a.kind.budget}
 	if a.adapter != "" {
 		asked.Model, asked.Adapter, asked.Output = modelName, a.adapter, 10
 		asked.Prompt = []dialect.PromptPart{{ID: "aa", Tokens: 60}, {ID: a.id, Tokens: 40}}
 	}
-	asked.SetOn(req.Header)
+	asked.SetHeaders(req.Header)
 	res, err := client.Do(req)
 	if err != nil {
 		a.err = err
--- a/test/soak/changes_test.go
+++ b/test/soak/changes_test.go
@@ -108,7 +108,7 @@
 	version := 2 + len(c.versions[name])
 	w.mu.Lock()
 	for _, e := range w.endpoints {
-		e.SetNewest(name, version)
+		e.SetNewestVersion(name, version)
 	}
 	w.mu.Unlock()
 	row := map[string]any{"model": modelName, "adapter": name, "version": version}
--- a/test/soak/checks_endpoints_test.go
+++ b/test/soak/checks_endpoints_test.go
@@ -76,18 +76,18 @@
 func (f *findings) checkPauses(attempts []*attempt) {
 	for v, list := range f.visits(attempts) {
 		for _, asked := range list {
-			if asked.Pause == 0 {
+			if asked.RetryAfter == 0 {
 				continue
 			}
 			in := 0
 			for _, a := range list {
-				if a.At.After(asked.At.Add(pauseSlack)) && a.At.Before(asked.At.Add(asked.Pause)) {
+				if a.At.After(asked.At.Add(pauseSlack)) && a.At.Before(asked.At.Add(asked.RetryAfter)) {
 					in++
 				}
 			}
-			if in > maxInPause && !f.w.faults.struck(v.vm, asked.At, asked.At.Add(asked.Pause)) {
+			if in > maxInPause && !f.w.faults.struck(v.vm, asked.At, asked.At.Add(asked.RetryAfter)) {
 				f.add("pause: %d requests reached %s from %s within the pause of %v that it had asked for at %s",
-					in, v.endpoint, v.vm.name, asked.Pause, f.at(asked.At))
+					in, v.endpoint, v.vm.name, asked.RetryAfter, f.at(asked.At))
 			}
 		}
 	}
--- a/test/soak/checks_find_test.go
+++ b/test/soak/checks_find_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+e.proxy.address()+path, bytes.NewBufferString(body))
 	require.NoError(t, err)
-	asked.SetOn(req.Header)
+	asked.SetHeaders(req.Header)
 	res, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
 	require.NoError(t, res.Body.Close())
@@ -29,7 +29,7 @@
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+e.proxy.address()+oncePrefix, bytes.NewBufferString(fatalMark))
 	require.NoError(t, err)
-	standin.Request{ID: id, Account: "large", Patience: 100 * time.Millisecond}.SetOn(req.Header)
+	standin.Request{ID: id, Account: "large", Timeout: 100 * time.Millisecond}.SetHeaders(req.Header)
 	res, err := http.DefaultClient.Do(req)
 	if err == nil {
 		_ = res.Body.Close()
@@ -53,7 +53,7 @@
 		return a
 	}
 	runFor := func(id, account, key string) {
-		sendTo(t, service, oncePrefix, standin.Request{ID: id, Account: account, Key: key, Patience: 100 * time.Millisecond}, "")
+		sendTo(t, service, oncePrefix, standin.Request{ID: id, Account: account, Key: key, Timeout: 100 * time.Millisecond}, "")
 	}
 	run := func(id string) { runFor(id, "large", "") }
 	once := kinds[2]
@@ -101,7 +101,7 @@
 	ch.versions["a1"] = []named{{version: 2, at: long}}
 	add("old", kinds[0], func(a *attempt) { a.adapter = "a1" })
 	sendTo(t, engine, streamPrefix, standin.Request{
-		ID: "old", Account: "large", Patience: 900 * time.Millisecond, Model: modelName, Adapter: "a1",
+		ID: "old", Account: "large", Timeout: 900 * time.Millisecond, Model: modelName, Adapter: "a1",
 	}, "")
 	service.Drain()
 	time.Sleep(drainTime + 100*time.Millisecond)
@@ -117,19 +117,19 @@
 	}
 
 	quiet := w.addEndpoint(serviceGroup)
-	quiet.LeaveQuietly()
+	quiet.SignalLeaving()
 	for i, sent := range []time.Time{long, time.Now()} {
 		id := fmt.Sprint("after", i)
 		a := add(id, once, func(a *attempt) { a.sent, a.ended = sent, sent })
 		a.signature = standin.Signature(a.expected())
-		sendTo(t, quiet, oncePrefix, standin.Request{ID: id, Account: "large", Patience: 100 * time.Millisecond}, "")
+		sendTo(t, quiet, oncePrefix, standin.Request{ID: id, Account: "large", Timeout: 100 * time.Millisecond}, "")
 	}
 	shedding := w.addEndpoint(serviceGroup)
-	shedding.SetTrouble(standin.Trouble{Sheds: 1, Pause: time.Minute})
+	shedding.SetFaults(standin.EndpointFaults{Rejected: 1, RetryAfter: time.Minute})
 	for i := range maxInPause + 2 {
 		id := fmt.Sprint("paused", i)
 		add(id, once, func(a *attempt) { a.status, a.whole, a.body = 503, false, nil })
-		sendTo(t, shedding, oncePrefix, standin.Request{ID: id, Account: "large", Patience: 100 * time.Millisecond}, "")
+		sendTo(t, shedding, oncePrefix, standin.Request{ID: id, Account: "large", Timeout: 100 * time.Millisecond}, "")
 		time.Sleep(pauseSlack + 10*time.Millisecond)
 	}
 	add("junk", once, func(a *attempt) { a.status, a.body = 502, []byte(standin.Junk) })
--- a/test/soak/checks_test.go
+++ b/test/soak/checks_test.go
@@ -27,7 +27,7 @@
 // check holds what callers and endpoints have seen against the promises.
 func check(w *world, c *callers, ch *changes) []string {
 	f := &findings{w: w}
-	f.list = append(f.list, w.audit.Faults()...)
+	f.list = append(f.list, w.audit.Violations()...)
 	attempts := c.all()
 	for _, a := range attempts {
 		f.checkAnswer(a)
@@ -97,9 +97,9 @@
 	defer ch.mu.Unlock()
 	for _, n := range ch.versions[a.adapter] {
 		due := n.at.Add(versionTime)
-		if run.Version < n.version && run.Begun.After(due) && f.w.faults.calm(n.at, run.Begun, false) {
+		if run.Version < n.version && run.StartedAt.After(due) && f.w.faults.calm(n.at, run.StartedAt, false) {
 			f.add("version: %s began on %s@%d at %s, %v after version %d was declared",
-				a.id, a.adapter, run.Version, f.at(run.Begun), run.Begun.Sub(n.at), n.version)
+				a.id, a.adapter, run.Version, f.at(run.StartedAt), run.StartedAt.Sub(n.at), n.version)
 		}
 	}
 }
@@ -151,7 +151,7 @@
 		endpoint string
 		started  int64
 	}
-	byRun := map[run][]standin.GivenOrder{}
+	byRun := map[run][]standin.ReceivedOrder{}
 	for _, o := range f.w.audit.Orders() {
 		key := run{o.Endpoint, o.Started}
 		byRun[key] = append(byRun[key], o)
@@ -179,7 +179,7 @@
 }
 
 // thawed reports whether an order's sender was stopped, or anything cut, just before the order arrived.
-func (f *findings) thawed(o standin.GivenOrder) bool {
+func (f *findings) thawed(o standin.ReceivedOrder) bool {
 	l := f.w.faults
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -192,10 +192,10 @@
 // checkDraining: a leaving endpoint gets no new requests.
 func (f *findings) checkDraining() {
 	for _, a := range f.w.audit.Arrivals() {
-		if a.Since.IsZero() || a.At.Sub(a.Since) <= drainTime || !f.w.faults.calm(a.Since, a.At, false) {
+		if a.DrainingSince.IsZero() || a.At.Sub(a.DrainingSince) <= drainTime || !f.w.faults.calm(a.DrainingSince, a.At, false) {
 			continue
 		}
-		f.add("drain: %s reached %s %v after it said that it leaves, at %s", a.ID, a.Endpoint, a.At.Sub(a.Since), f.at(a.At))
+		f.add("drain: %s reached %s %v after it said that it leaves, at %s", a.ID, a.Endpoint, a.At.Sub(a.DrainingSince), f.at(a.At))
 	}
 }
 
@@ -253,7 +253,7 @@
 	used := map[string][]spending{}
 	for _, a := range attempts {
 		if runs := f.w.audit.Runs(a.id); len(runs) > 0 {
-			used[a.account] = append(used[a.account], spending{a.sent, runs[0].Begun, a.kind.tokens})
+			used[a.account] = append(used[a.account], spending{a.sent, runs[0].StartedAt, a.kind.tokens})
 		}
 	}
 	for _, account := range f.w.accounts {
--- a/test/soak/endless_test.go
+++ b/test/soak/endless_test.go
@@ -40,8 +40,8 @@
 	const crowd = 1500
 	w := newWorld(t, binary, 1, 1)
 	for _, e := range w.endpoints {
-		e.SetTrouble(standin.Trouble{Endless: 1})
-		e.Widen(crowd)
+		e.SetFaults(standin.EndpointFaults{Endless: 1})
+		e.SetSlots(crowd)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -74,7 +74,7 @@
 	}
 	require.Empty(t, f.list)
 	for _, e := range w.endpoints {
-		e.SetTrouble(standin.Trouble{})
+		e.SetFaults(standin.EndpointFaults{})
 	}
 	require.Eventually(t, func() bool {
 		a := c.fatal(kinds[3], w.vms[0], fmt.Sprint("after", time.Now().UnixNano()))
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -89,14 +89,18 @@
 	{"term", (*chaos).term},
 	{"hup", (*chaos).hup},
 	{"kill_all", (*chaos).killAll},
-	{"store_down", func(x *chaos, d time.Duration) { x.storeFault("store_down", standin.Faults{Down: true}, d) }},
-	{"store_silent", func(x *chaos, d time.Duration) { x.storeFault("store_silent", standin.Faults{Silent: true}, d) }},
+	{"store_down", func(x *chaos, d time.Duration) { x.storeFault("store_down", standin.StoreFaults{Down: true}, d) }},
+	{"store_silent", func(x *chaos, d time.Duration) {
+		x.storeFault("store_silent", standin.StoreFaults{Unresponsive: true}, d)
+	}},
 	{"store_slow", func(x *chaos, d time.Duration) {
-		x.storeFault("store_slow", standin.Faults{Slow: 200 * time.Millisecond}, d)
+		x.storeFault("store_slow", standin.StoreFaults{ResponseDelay: 200 * time.Millisecond}, d)
+	}},
+	{"store_loses", func(x *chaos, d time.Duration) {
+		x.storeFault("store_loses", standin.StoreFaults{LoseResponses: true}, d)
 	}},
-	{"store_loses", func(x *chaos, d time.Duration) { x.storeFault("store_loses", standin.Faults{LoseAnswers: true}, d) }},
 	{"store_late", func(x *chaos, d time.Duration) {
-		x.storeFault("store_late", standin.Faults{LateBy: 1500 * time.Millisecond}, d)
+		x.storeFault("store_late", standin.StoreFaults{WriteDelay: 1500 * time.Millisecond}, d)
 	}},
 	{"store_compact", (*chaos).compact},
 	{"store_cut", func(x *chaos, d time.Duration) { v := x.vm(); x.cut("store_cut", v.name, v.store, d) }},
@@ -108,12 +112,14 @@
 			x.cut("endpoint_cut", e.ID(), e.proxy, d)
 		}
 	}},
-	{"endpoint_errors", func(x *chaos, d time.Duration) { x.sick("endpoint_errors", standin.Trouble{Errors: 0.5}, d) }},
-	{"endpoint_mute", func(x *chaos, d time.Duration) { x.sick("endpoint_mute", standin.Trouble{Mutes: 0.3}, d) }},
-	{"endpoint_cuts", func(x *chaos, d time.Duration) { x.sick("endpoint_cuts", standin.Trouble{Cuts: 0.5}, d) }},
-	{"endpoint_slow", func(x *chaos, d time.Duration) { x.sick("endpoint_slow", standin.Trouble{Slow: 20}, d) }},
+	{"endpoint_errors", func(x *chaos, d time.Duration) { x.sick("endpoint_errors", standin.EndpointFaults{Errors: 0.5}, d) }},
+	{"endpoint_mute", func(x *chaos, d time.Duration) { x.sick("endpoint_mute", standin.EndpointFaults{NoResponse: 0.3}, d) }},
+	{"endpoint_cuts", func(x *chaos, d time.Duration) { x.sick("endpoint_cuts", standin.EndpointFaults{Truncated: 0.5}, d) }},
+	{"endpoint_slow", func(x *chaos, d time.Duration) {
+		x.sick("endpoint_slow", standin.EndpointFaults{SlowdownFactor: 20}, d)
+	}},
 	{"late_orders", func(x *chaos, d time.Duration) {
-		x.sick("late_orders", standin.Trouble{LateOrders: 0.5, LateBy: 2 * time.Second}, d)
+		x.sick("late_orders", standin.EndpointFaults{LateOrders: 0.5, LateOrderDelay: 2 * time.Second}, d)
 	}},
 	{"route_added", (*chaos).addRoute},
 	{"key_changed", (*chaos).changeKey},
@@ -125,9 +131,9 @@
 var furtherTroubles = []trouble{
 	{"endpoint_leaves_quietly", (*chaos).leaveQuietly},
 	{"endpoint_pauses", func(x *chaos, d time.Duration) {
-		x.sick("endpoint_pauses", standin.Trouble{Sheds: 0.6, Pause: time.Second + d/2}, d)
+		x.sick("endpoint_pauses", standin.EndpointFaults{Rejected: 0.6, RetryAfter: time.Second + d/2}, d)
 	}},
-	{"endpoint_endless", func(x *chaos, d time.Duration) { x.sick("endpoint_endless", standin.Trouble{Endless: 0.4}, d) }},
+	{"endpoint_endless", func(x *chaos, d time.Duration) { x.sick("endpoint_endless", standin.EndpointFaults{Endless: 0.4}, d) }},
 }
 
 // run strikes from time to time until ctx ends. Troubles may overlap.
@@ -241,11 +247,11 @@
 	v.signal(syscall.SIGHUP)
 }
 
-func (x *chaos) storeFault(what string, f standin.Faults, d time.Duration) {
+func (x *chaos) storeFault(what string, f standin.StoreFaults, d time.Duration) {
 	defer x.w.faults.begin(what, "store", false)()
 	x.w.store.SetFaults(f)
 	x.hold(d)
-	x.w.store.SetFaults(standin.Faults{})
+	x.w.store.SetFaults(standin.StoreFaults{})
 }
 
 func (x *chaos) compact(time.Duration) {
@@ -298,20 +304,20 @@
 	}
 	defer x.w.faults.begin("endpoint_leaves_quietly", e.ID(), true)()
 	x.w.addEndpoint(e.Group())
-	e.LeaveQuietly()
+	e.SignalLeaving()
 	x.hold(2*drainTime + time.Second)
 	x.w.end(e, true)
 }
 
-func (x *chaos) sick(what string, t standin.Trouble, d time.Duration) {
+func (x *chaos) sick(what string, t standin.EndpointFaults, d time.Duration) {
 	e := x.endpoint()
 	if e == nil {
 		return
 	}
 	defer x.w.faults.begin(what, e.ID(), false)()
-	e.SetTrouble(t)
+	e.SetFaults(t)
 	x.hold(d)
-	e.SetTrouble(standin.Trouble{})
+	e.SetFaults(standin.EndpointFaults{})
 }
 
 func (x *chaos) addRoute(time.Duration) {
--- a/test/soak/world_test.go
+++ b/test/soak/world_test.go
@@ -190,13 +190,13 @@
 	w.next++
 	cfg := standin.EndpointConfig{
 		ID: fmt.Sprintf("%s-%d", group, w.next), Group: group, FailureDomain: domains[w.next%len(domains)],
-		Slots: 8, Work: 10 * time.Millisecond, Heartbeat: heartbeat, Fatal: fatalMark, Crashed: w.crashedByRequest,
+		Slots: 8, RunTime: 10 * time.Millisecond, HeartbeatInterval: heartbeat, CrashText: fatalMark, OnCrash: w.crashedByRequest,
 	}
 	if before != nil {
 		cfg.ID = before.ID()
 	}
 	if group == engineGroup {
-		cfg.Model, cfg.Places, cfg.Load, cfg.Events, cfg.Pause = modelName, places, loadTime, streamEvents, eventPause
+		cfg.Model, cfg.AdapterSlots, cfg.LoadTime, cfg.StreamEvents, cfg.EventInterval = modelName, places, loadTime, streamEvents, eventPause
 		cfg.Slots = 16
 	}
 	e := &endpoint{Endpoint: standin.StartEndpoint(cfg, l, p.address(), w.store, w.audit, uint64(w.next)), proxy: p}
