--- a/test/processes/fleet_test.go
+++ b/test/processes/fleet_test.go
@@ -8,6 +8,7 @@
 	"crypto/ed25519"
 	"encoding/hex"
 	"encoding/json"
+	"flag"
 	"fmt"
 	"net"
 	"net/http"
@@ -44,6 +45,8 @@
 	readyTimeout = 20 * time.Second
 )
 
+var otherDaemon = flag.String("other-daemon", "", "mallowlinkd of another build, for a fleet of two builds; empty for this one only")
+
 // accounts are the client accounts of the bundle, with their keys.
 var accounts = []load.Account{
 	{Name: "north", Key: "key-of-north", Weight: 1},
@@ -58,6 +61,8 @@
 	log    *logBuffer
 	// callers and admin are base URLs.
 	callers, admin string
+	// number is the VM's number, starts how often its daemon has been started.
+	number, starts int
 }
 
 // logBuffer collects a process's output.
@@ -182,7 +187,7 @@
 
 // configure writes the settings of one VM and puts it on the platform's list.
 func (f *fleet) configure(n int, urls []string, signer ed25519.PublicKey) *process {
-	p := &process{id: fmt.Sprintf("vm-%d", n)}
+	p := &process{id: fmt.Sprintf("vm-%d", n), number: n}
 	callers, peer, admin := f.freeAddress(), f.freeAddress(), f.freeAddress()
 	p.callers, p.admin = "http://"+callers, "http://"+admin
 	p.config = filepath.Join(f.t.TempDir(), p.id+".ini")
@@ -195,10 +200,20 @@
 	return p
 }
 
+// daemonOf returns the daemon to start for a VM. If another build is named, neighbouring VMs begin with different builds,
+// and each restart changes the VM's build.
+func (f *fleet) daemonOf(p *process) string {
+	if *otherDaemon != "" && (p.number+p.starts)%2 == 0 {
+		return *otherDaemon
+	}
+	return f.binary
+}
+
 // start runs the daemon. The process is killed when the test ends.
 func (f *fleet) start(p *process) {
 	p.log = &logBuffer{}
-	p.cmd = exec.Command(f.binary, "run", "--config", p.config)
+	p.cmd = exec.Command(f.daemonOf(p), "run", "--config", p.config)
+	p.starts++
 	p.cmd.Stdout, p.cmd.Stderr = p.log, p.log
 	require.NoError(f.t, p.cmd.Start())
 	cmd, log := p.cmd, p.log
