--- a/pkg/allowance/account_test.go
+++ b/pkg/allowance/account_test.go
@@ -125,7 +125,7 @@
 }
 
 // The home changes again and again during a flood. A new home must assume the worst of VMs that have not reported to it,
-// and once all have reported must let through no more than the previous home would have.
+// and once all have reported must admit no more than the previous home would have.
 func TestNewHomeCountsReportedUsage(t *testing.T) {
 	rnd := rand.New(rand.NewSource(3))
 	now := time.Unix(1_700_000_000, 0)
--- a/pkg/allowance/fallback.go
+++ b/pkg/allowance/fallback.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// maxReplyAge is the age up to which the last reply of a home still tells how many tokens remained when the
+// maxReplyAge is the age up to which the last reply of a home still indicates how many tokens remained when the
 // home became unreachable. A VM on which an account is in use requests tokens more often than that, because
 // its balance covers the demand of this time.
 const maxReplyAge = balanceHorizon
--- a/pkg/connlimit/timeouts.go
+++ b/pkg/connlimit/timeouts.go
@@ -34,30 +34,30 @@
 // NewTimeoutEnforcer tracks the connections of the server from its start on. It sets the server's ConnState
 // hook and must be called before the server starts.
 func NewTimeoutEnforcer(s *http.Server) *TimeoutEnforcer {
-	w := &TimeoutEnforcer{conns: map[net.Conn]waitingConn{}}
-	s.ConnState = w.recordState
-	return w
+	e := &TimeoutEnforcer{conns: map[net.Conn]waitingConn{}}
+	s.ConnState = e.recordState
+	return e
 }
 
 // recordState adds the connection to the waiting ones or removes it from them. It is the server's ConnState hook.
-func (w *TimeoutEnforcer) recordState(c net.Conn, state http.ConnState) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (e *TimeoutEnforcer) recordState(c net.Conn, state http.ConnState) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	switch state {
 	case http.StateNew, http.StateIdle:
-		w.conns[c] = waitingConn{since: time.Now(), isNew: state == http.StateNew}
+		e.conns[c] = waitingConn{since: time.Now(), isNew: state == http.StateNew}
 	default:
-		delete(w.conns, c)
+		delete(e.conns, c)
 	}
 }
 
 // CloseExpired closes the connections that have exceeded their timeout. A new connection is closed after
 // p.Header; one that has carried a request after p.Idle and p.Header together, because the header of its
 // next request may have begun to arrive at the end of the idle time.
-func (w *TimeoutEnforcer) CloseExpired(p Timeouts, now time.Time) {
-	w.mu.Lock()
+func (e *TimeoutEnforcer) CloseExpired(p Timeouts, now time.Time) {
+	e.mu.Lock()
 	var expired []net.Conn
-	for c, wait := range w.conns {
+	for c, wait := range e.conns {
 		limit := p.Header
 		if !wait.isNew {
 			limit += p.Idle
@@ -66,7 +66,7 @@
 			expired = append(expired, c)
 		}
 	}
-	w.mu.Unlock()
+	e.mu.Unlock()
 	for _, c := range expired {
 		// The server then calls recordState, which removes the connection.
 		_ = c.Close()
--- a/pkg/connlimit/timeouts_test.go
+++ b/pkg/connlimit/timeouts_test.go
@@ -44,11 +44,11 @@
 }
 
 // countWaiting returns the number of waiting connections that are new, or of those that are not.
-func (w *TimeoutEnforcer) countWaiting(isNew bool) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (e *TimeoutEnforcer) countWaiting(isNew bool) int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	n := 0
-	for _, wait := range w.conns {
+	for _, wait := range e.conns {
 		if wait.isNew == isNew {
 			n++
 		}
--- a/pkg/dispatch/dispatch.go
+++ b/pkg/dispatch/dispatch.go
@@ -70,7 +70,7 @@
 // sweepInterval is the time between two passes that discard outdated entries of the dispatcher's tables.
 const sweepInterval = 10 * time.Second
 
-// Run sends permit notices to the owners of engines and discards outdated state until ctx ends.
+// Run sends permit updates to the owners of engines and discards outdated state until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) {
 	go clock.Every(ctx, sweepInterval, func(now time.Time) {
 		d.health.sweep(now)
--- a/pkg/dispatch/engine.go
+++ b/pkg/dispatch/engine.go
@@ -273,7 +273,7 @@
 		case orders.Granted:
 			return d.granted(req, e, reply, func(n orders.PermitUpdate) {
 				n.Permit = permit
-				d.owners.queueNotice(address, n)
+				d.owners.queueUpdate(address, n)
 			})
 		case orders.Waiting:
 			// The request is now queued for the adapter: only waitDeadline ends the wait.
--- a/pkg/dispatch/health.go
+++ b/pkg/dispatch/health.go
@@ -59,7 +59,7 @@
 	// gets one request at a time until it has accepted one, because all VMs return at about the same moment.
 	pausedUntil time.Time
 	halfOpen    bool
-	// trialInFlight says that the single request of a half-open endpoint is under way.
+	// trialInFlight says that the single request of a half-open endpoint is in flight.
 	trialInFlight bool
 	// avoided says that the endpoint was avoided when this was last checked.
 	avoided bool
--- a/pkg/dispatch/owners.go
+++ b/pkg/dispatch/owners.go
@@ -20,12 +20,12 @@
 	callTimeout = 120 * time.Millisecond
 	// ownerBackoff is how long a VM that did not respond is not called again.
 	ownerBackoff = 500 * time.Millisecond
-	// noticeInterval is the time between two passes in which queued notices are sent to owners. An adapter
+	// updateInterval is the time between two passes in which queued permit updates are sent to owners. An adapter
 	// keeps its slot until its owner knows that it is no longer in use.
-	noticeInterval = 25 * time.Millisecond
-	// maxNotices bounds the notices queued for one owner. Further ones are dropped; the owner then frees these
+	updateInterval = 25 * time.Millisecond
+	// maxUpdates bounds the permit updates queued for one owner. Further ones are dropped; the owner then frees these
 	// permits when they expire.
-	maxNotices = 512
+	maxUpdates = 512
 )
 
 // ownerClient calls the engine owners: the VMs whose leases let them send orders to engines. The owner may be
@@ -43,14 +43,14 @@
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 
-	notices      map[string][]orders.PermitUpdate // by address, "" for this VM
+	updates      map[string][]orders.PermitUpdate // by address, "" for this VM
 	backoffUntil map[string]time.Time             // by address
 }
 
 func newOwnerClient(self, incarnation string, local *orders.Service, lessor lease.View, peers peer.Client, log logrus.FieldLogger) *ownerClient {
 	return &ownerClient{
 		self: self, incarnation: incarnation, local: local, lessor: lessor, peers: peers, log: log,
-		notices: map[string][]orders.PermitUpdate{}, backoffUntil: map[string]time.Time{},
+		updates: map[string][]orders.PermitUpdate{}, backoffUntil: map[string]time.Time{},
 	}
 }
 
@@ -78,7 +78,7 @@
 func (o *ownerClient) acquire(ctx context.Context, address string, args *orders.AcquireArgs) (orders.AcquireReply, bool) {
 	var reply orders.AcquireReply
 	args.Caller, args.Incarnation = o.self, o.incarnation
-	args.Ended = o.takeNotices(address)
+	args.Ended = o.takeUpdates(address)
 	if address == "" {
 		return reply, o.local.Acquire(args, &reply) == nil
 	}
@@ -86,7 +86,7 @@
 	defer cancel()
 	if err := o.peers.Call(ctx, address, orders.AcquireMethod, args, &reply); err != nil {
 		// The owner may have granted the permit or may still grant it, so it has to be ended.
-		o.queueNotice(address, orders.PermitUpdate{Permit: args.Permit, Ended: true})
+		o.queueUpdate(address, orders.PermitUpdate{Permit: args.Permit, Ended: true})
 		o.callFailed(address, err)
 		return reply, false
 	}
@@ -116,31 +116,31 @@
 	}
 }
 
-// queueNotice queues a notice for the next call to an owner.
-func (o *ownerClient) queueNotice(address string, n orders.PermitUpdate) {
+// queueUpdate queues a permit update for the next call to an owner.
+func (o *ownerClient) queueUpdate(address string, update orders.PermitUpdate) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if list := o.notices[address]; len(list) < maxNotices {
-		o.notices[address] = append(list, n)
+	if list := o.updates[address]; len(list) < maxUpdates {
+		o.updates[address] = append(list, update)
 	}
 }
 
-// takeNotices removes and returns the notices queued for an owner.
-func (o *ownerClient) takeNotices(address string) []orders.PermitUpdate {
+// takeUpdates removes and returns the permit updates queued for an owner.
+func (o *ownerClient) takeUpdates(address string) []orders.PermitUpdate {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	list := o.notices[address]
+	list := o.updates[address]
 	if len(list) > 0 {
-		delete(o.notices, address)
+		delete(o.updates, address)
 	}
 	return list
 }
 
-// flush sends the queued notices that no call to acquire has carried along.
+// flush sends the queued permit updates that no call to acquire has carried along.
 func (o *ownerClient) flush(ctx context.Context) {
 	o.mu.Lock()
-	all := o.notices
-	o.notices = map[string][]orders.PermitUpdate{}
+	all := o.updates
+	o.updates = map[string][]orders.PermitUpdate{}
 	o.mu.Unlock()
 	for address, list := range all {
 		args := &orders.ReportArgs{Caller: o.self, Incarnation: o.incarnation, Notices: list}
@@ -152,13 +152,13 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
-			// An owner that misses a notice frees the permit when it expires.
+			// An owner that misses an update frees the permit when it expires.
 			_ = o.peers.Call(ctx, address, orders.ReportMethod, args, &reply)
 		}()
 	}
 }
 
-// run sends queued notices until ctx ends.
+// run sends queued permit updates until ctx ends.
 func (o *ownerClient) run(ctx context.Context) {
-	clock.Every(ctx, noticeInterval, func(time.Time) { o.flush(ctx) })
+	clock.Every(ctx, updateInterval, func(time.Time) { o.flush(ctx) })
 }
--- a/pkg/gateway/call.go
+++ b/pkg/gateway/call.go
@@ -90,7 +90,7 @@
 	// response.
 	waited    time.Duration
 	firstByte time.Duration
-	// lastProgress is when the dispatcher was last told that the response goes on.
+	// lastProgress is when progress of the response was last reported to the dispatcher.
 	lastProgress time.Time
 	// fallback is an endpoint's error response, which the caller gets if no other endpoint gives a better one.
 	fallback *bufferedResponse
@@ -366,7 +366,7 @@
 	switch {
 	case state == stateAnswered:
 	case c.relay.headSent:
-		// The response is incomplete. Closing the connection tells the caller so.
+		// The response is incomplete. Closing the connection lets the caller detect that.
 		panic(http.ErrAbortHandler)
 	case c.fallback != nil:
 		c.writeBuffered(c.fallback)
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -480,7 +480,7 @@
 	close(more)
 }
 
-// The dispatcher is told of progress for each part of a stream that arrives some time after the one before.
+// Progress must be reported to the dispatcher for each part of a stream that arrives some time after the one before.
 func TestStreamPartsReportProgress(t *testing.T) {
 	const parts = 3
 	b := newTestbed(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/pkg/gateway/pass.go
+++ b/pkg/gateway/pass.go
@@ -253,7 +253,7 @@
 	}
 }
 
-// reportProgress tells the dispatcher that the stream goes on.
+// reportProgress reports to the dispatcher that the stream makes progress.
 func (c *call) reportProgress() {
 	now := time.Now()
 	if c.placement.Progress == nil || now.Sub(c.lastProgress) < progressInterval {
--- a/pkg/gateway/send.go
+++ b/pkg/gateway/send.go
@@ -29,7 +29,7 @@
 	}
 	c.response, c.headAt = response, time.Now()
 	c.g.cfg.Suspects.Responded(e.Incarnation, c.sentAt)
-	if response.Verdict.NotRun {
+	if response.Info.NotRun {
 		return c.rejected()
 	}
 	c.runs++
@@ -65,8 +65,8 @@
 // validHead reports whether the response comes unmodified from the endpoint: signed, and not re-encoded on the
 // way.
 func (c *call) validHead() bool {
-	v := c.response.Verdict
-	return v.Signed && !v.Encoded
+	info := c.response.Info
+	return info.Signed && !info.Encoded
 }
 
 // noResponse handles a request that got no response.
@@ -93,7 +93,7 @@
 
 // rejected handles a response that says that the request has not run.
 func (c *call) rejected() chart.Event {
-	notLoaded := c.response.Verdict.Misdirected
+	notLoaded := c.response.Info.Misdirected
 	c.logAttempt("rejected", errors.Errorf("status %d", c.response.Status))
 	c.closeResponse(Outcome{Rejected: true, AdapterMissing: notLoaded, Pause: c.requestedPause()})
 	return c.tryAnother(result.New(result.QueueFull, "the endpoints are full"), true)
@@ -102,13 +102,13 @@
 // requestedPause returns how long the endpoint wants no further requests from this VM. It logs a requested
 // pause that cannot be read or is not kept.
 func (c *call) requestedPause() time.Duration {
-	v := c.response.Verdict
-	if v.RetryAfterText != "" {
+	info := c.response.Info
+	if info.RetryAfterText != "" {
 		c.g.cfg.Log.WithFields(logrus.Fields{
-			"event": "pause_not_kept", "id": c.terms.ID, "endpoint": c.placement.Endpoint.ID, "asked": v.RetryAfterText, "pause": v.RetryAfter,
+			"event": "pause_not_kept", "id": c.terms.ID, "endpoint": c.placement.Endpoint.ID, "asked": info.RetryAfterText, "pause": info.RetryAfter,
 		}).Warn("pause requested by endpoint is not kept")
 	}
-	return v.RetryAfter
+	return info.RetryAfter
 }
 
 // closeResponse closes the endpoint's response and ends the placement.
--- a/pkg/gateway/suspects.go
+++ b/pkg/gateway/suspects.go
@@ -12,7 +12,7 @@
 )
 
 // Suspects protects endpoints from requests that crash the endpoints that run them. A request is suspect while
-// crashes of endpoints are held against it. *suspect.Watch implements it.
+// crashes of endpoints are attributed to it. *suspect.Detector implements it.
 type Suspects interface {
 	// NoSuspects reports whether no request is suspect, so that requests need no fingerprint before they are sent.
 	NoSuspects() bool
@@ -21,7 +21,7 @@
 	// SuspectEndpoints returns the endpoints at which other suspects run.
 	SuspectEndpoints(fingerprint uint64) []string
 	// Started records that a suspect is about to be sent to an endpoint, and reports false if it must not be
-	// sent there. Left records that it has ended there.
+	// sent there. Ended records that it has ended there.
 	Started(fingerprint uint64, endpoint string) bool
 	Ended(fingerprint uint64, endpoint string)
 	// AwaitLiveness waits briefly until it is known whether an incarnation of an endpoint has ended.
--- a/pkg/gateway/suspects_test.go
+++ b/pkg/gateway/suspects_test.go
@@ -41,7 +41,7 @@
 
 func (unknownProber) Probe(context.Context, roster.Endpoint) suspect.Liveness { return suspect.Unknown }
 
-// suspects returns the gateway's Watch over requests that crash endpoints.
+// suspects returns a detector of requests that crash endpoints, for the gateway under test.
 func (b *testbed) suspects() *suspect.Detector {
 	log, _ := test.NewNullLogger()
 	return suspect.NewDetector(b.t.Context(), suspect.DetectorConfig{
--- a/pkg/gatewayd/drain.go
+++ b/pkg/gatewayd/drain.go
@@ -16,7 +16,7 @@
 // drainer ends the work of a process on behalf of other VMs and callers. Its functions return when they are
 // done or their context ends.
 type drainer struct {
-	// handOver hands the leases over. shutDown accepts no more requests and waits for those under way.
+	// handOver hands the leases over. shutDown accepts no more requests and waits for those in flight.
 	handOver, shutDown func(ctx context.Context) error
 	log                logrus.FieldLogger
 }
--- a/pkg/gatewayd/process.go
+++ b/pkg/gatewayd/process.go
@@ -46,7 +46,7 @@
 // servers holds the HTTP servers of the process.
 type servers struct {
 	callers, readiness, metrics *http.Server
-	callerWatch                 *connlimit.TimeoutEnforcer
+	callerEnforcer              *connlimit.TimeoutEnforcer
 	process                     atomic.Pointer[process]
 }
 
@@ -54,10 +54,10 @@
 	s := &servers{}
 	router := mux.NewRouter()
 	router.HandleFunc("/readyz", s.serveReady).Methods(http.MethodGet)
-	// callerWatch enforces the limits on headers and idle connections, because those of the configuration in
+	// callerEnforcer enforces the limits on headers and idle connections, because those of the configuration in
 	// force may change while the server runs.
 	s.callers = &http.Server{Handler: g, MaxHeaderBytes: defaultHeaderBytes}
-	s.callerWatch = connlimit.NewTimeoutEnforcer(s.callers)
+	s.callerEnforcer = connlimit.NewTimeoutEnforcer(s.callers)
 	s.readiness = &http.Server{Handler: router, ReadHeaderTimeout: defaultHeaderTimeout}
 	s.metrics = &http.Server{
 		Handler:           admin.NewHandler(s.dumpState, registry),
@@ -169,24 +169,24 @@
 func (p *process) sweep(ctx context.Context) {
 	clock.Every(ctx, sweepInterval, func(now time.Time) {
 		p.components.Outbound.pools.Sweep(now)
-		p.components.Servers.callerWatch.CloseExpired(p.callerTimeouts(), now)
+		p.components.Servers.callerEnforcer.CloseExpired(p.callerTimeouts(), now)
 	})
 }
 
 // callerTimeouts returns the timeouts for callers that the configuration in force sets, or the defaults.
 func (p *process) callerTimeouts() connlimit.Timeouts {
-	patience := connlimit.Timeouts{Header: defaultHeaderTimeout, Idle: defaultIdleTimeout}
+	timeouts := connlimit.Timeouts{Header: defaultHeaderTimeout, Idle: defaultIdleTimeout}
 	rules := p.components.View.rules.Load()
 	if rules == nil {
-		return patience
+		return timeouts
 	}
 	if limit := rules.Bundle.Callers.HeaderTimeout; limit > 0 {
-		patience.Header = limit
+		timeouts.Header = limit
 	}
 	if limit := rules.Bundle.Callers.IdleTimeout; limit > 0 {
-		patience.Idle = limit
+		timeouts.Idle = limit
 	}
-	return patience
+	return timeouts
 }
 
 // stop drains the process: it reports that it is not ready, hands its leases over, completes the requests under
--- a/pkg/gatewayd/state.go
+++ b/pkg/gatewayd/state.go
@@ -75,7 +75,7 @@
 		Uptime: formatDuration(time.Since(p.components.ID.started)), Ready: p.ready(), Draining: p.draining.Load(),
 		Requests: p.components.Gateway.Running(), Relay: p.components.Relay.State(), Steward: coord.stewards.isSteward(),
 		Leases: coord.stewards.heldLeases(), EndpointsAge: formatDuration(view.endpointsAge()),
-		Engines: p.components.Orders.State(), Accounts: p.components.Allowances.holder.State(),
+		Engines: p.components.Orders.State(), Accounts: p.components.Allowances.limiter.State(),
 		Suspects: p.components.Suspects.detector.Suspects(),
 	}
 	if rules := view.rules.Load(); rules != nil {
--- a/pkg/gatewayd/wiring.go
+++ b/pkg/gatewayd/wiring.go
@@ -242,10 +242,10 @@
 }
 
 // allowances holds the two sides that enforce the client accounts' limits: home hands out tokens for the
-// accounts whose leases this VM holds, holder spends the tokens that this VM has obtained.
+// accounts whose leases this VM holds, limiter spends the tokens that this VM has obtained.
 type allowances struct {
-	home   *allowance.Home
-	holder *allowance.Limiter
+	home    *allowance.Home
+	limiter *allowance.Limiter
 }
 
 func newAllowances(s Settings, bg background, id identity, coord coordination, view *fleetView, pp peers, log logrus.FieldLogger) allowances {
@@ -254,11 +254,11 @@
 		Policy: policy, Limits: view.accountLimit, Lessor: coord.stewards, Fleet: coord.stewards,
 		Caller: pp.pool, Log: log,
 	})
-	holder := allowance.NewLimiter(bg, allowance.LimiterConfig{
+	limiter := allowance.NewLimiter(bg, allowance.LimiterConfig{
 		Self: id.vm, Incarnation: id.incarnation, Started: id.started, FirstStart: s.FirstStart, Policy: policy, Limits: view.accountLimit,
 		Home: home, Lessor: coord.stewards, Fleet: coord.stewards, Caller: pp.pool, Log: log,
 	})
-	return allowances{home: home, holder: holder}
+	return allowances{home: home, limiter: limiter}
 }
 
 func newOrders(s Settings, bg background, id identity, p Platform, coord coordination, view *fleetView, out outbound, pp peers, registry metrics.Registry, log logrus.FieldLogger) *orders.Service {
@@ -324,7 +324,7 @@
 		KeysValid:  func() bool { return keysValid(view, l.bounds()) },
 		RulesAge:   view.rulesAge,
 		Dialect:    p.Dialect,
-		Quota:      a.holder,
+		Quota:      a.limiter,
 		Dispatcher: d,
 		Upstream:   out.client,
 		Suspects:   sus.detector,
@@ -460,7 +460,7 @@
 	}{
 		{membership.ServiceName, coord.members.Service()},
 		{lease.ServiceName, coord.leases.Service()},
-		{allowance.ServiceName, allowance.NewService(a.home, a.holder)},
+		{allowance.ServiceName, allowance.NewService(a.home, a.limiter)},
 		{orders.ServiceName, o},
 		{relay.ServiceName, n.Service()},
 		{suspect.ServiceName, sus.syncer.Service()},
--- a/pkg/orders/service.go
+++ b/pkg/orders/service.go
@@ -228,8 +228,8 @@
 	return nil
 }
 
-func (s *Service) applyUpdates(incarnation string, notices []PermitUpdate) {
-	if len(notices) == 0 {
+func (s *Service) applyUpdates(incarnation string, updates []PermitUpdate) {
+	if len(updates) == 0 {
 		return
 	}
 	s.mu.Lock()
@@ -239,13 +239,13 @@
 	}
 	s.mu.Unlock()
 	now := time.Now()
-	for _, n := range notices {
-		known := slices.ContainsFunc(workers, func(w *worker) bool { return w.applyUpdate(incarnation, n) })
-		if known || !n.Ended {
+	for _, update := range updates {
+		known := slices.ContainsFunc(workers, func(w *worker) bool { return w.applyUpdate(incarnation, update) })
+		if known || !update.Ended {
 			continue
 		}
 		for _, w := range workers {
-			w.cancelPermit(permitKey{incarnation, n.Permit}, now)
+			w.cancelPermit(permitKey{incarnation, update.Permit}, now)
 		}
 	}
 }
--- a/pkg/suspect/crash_times.go
+++ b/pkg/suspect/crash_times.go
@@ -17,7 +17,7 @@
 	Age   time.Duration
 }
 
-// EndReply answers EndArgs. Age is how long ago the crash was first seen, as far as the replying VM knows.
+// EndReply is the reply to EndArgs. Age is how long ago the crash was first seen, as far as the replying VM knows.
 type EndReply struct {
 	Age time.Duration
 }
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -154,9 +154,10 @@
 
 // Response is an endpoint's response, of which the body is read with Read. It is not safe for concurrent use.
 type Response struct {
-	Status  int
-	Header  http.Header
-	Verdict dialect.ResponseInfo
+	Status int
+	Header http.Header
+	// Info holds what the header states about the request and the endpoint.
+	Info dialect.ResponseInfo
 	// Length is the length of the body in bytes, or -1 if the header does not state it.
 	Length int64
 
@@ -187,10 +188,10 @@
 		if err != nil {
 			return errors.Wrap(err, "read head")
 		}
-		verdict := a.client.dialect.Judge(resp.StatusCode, resp.Header)
-		if verdict.RequestID == "" || verdict.RequestID == req.ID {
-			a.resp, a.Verdict = resp, verdict
-			a.client.reportLeaving(a.target, verdict, req.ID)
+		info := a.client.dialect.Judge(resp.StatusCode, resp.Header)
+		if info.RequestID == "" || info.RequestID == req.ID {
+			a.resp, a.Info = resp, info
+			a.client.reportLeaving(a.target, info, req.ID)
 			a.Status, a.Header, a.Length = resp.StatusCode, resp.Header, resp.ContentLength
 			return nil
 		}
@@ -202,10 +203,10 @@
 }
 
 // reportLeaving fires the leaving event if the response says that the endpoint is about to terminate. Only a response
-// that names the request is the endpoint's own. A misdirected request was answered by another endpoint at the
+// that names the request is the endpoint's own. A misdirected request got its response from another endpoint at the
 // address, whose response says nothing about the endpoint addressed.
-func (c *Client) reportLeaving(target Target, v dialect.ResponseInfo, id string) {
-	if v.Leaving && v.RequestID == id && !v.Misdirected && c.events.OnLeaving != nil {
+func (c *Client) reportLeaving(target Target, info dialect.ResponseInfo, id string) {
+	if info.Leaving && info.RequestID == id && !info.Misdirected && c.events.OnLeaving != nil {
 		c.events.OnLeaving(target)
 	}
 }
@@ -257,7 +258,7 @@
 // a stated end, the endpoint keeps the connection open, and no further bytes have arrived.
 func (a *Response) reusable() bool {
 	framed := a.Length >= 0 || len(a.resp.TransferEncoding) > 0
-	return a.complete && framed && !a.resp.Close && !a.Verdict.Closes && a.conn.reader.Buffered() == 0
+	return a.complete && framed && !a.resp.Close && !a.Info.Closes && a.conn.reader.Buffered() == 0
 }
 
 // abandon closes the connection of a request that has failed.
--- a/pkg/upstream/upstream_test.go
+++ b/pkg/upstream/upstream_test.go
@@ -158,7 +158,7 @@
 	for _, id := range []string{"1", "2"} {
 		a, err := client.Send(t.Context(), e.target(), request(id))
 		require.NoError(t, err)
-		require.Equal(t, id, a.Verdict.RequestID)
+		require.Equal(t, id, a.Info.RequestID)
 		require.Equal(t, "hello!", readAll(t, a))
 	}
 	require.Equal(t, 2, e.connections())
