--- a/pkg/platform/platform.go
+++ b/pkg/platform/platform.go
@@ -1,6 +1,6 @@
 // Package platform declares the services that the platform provides to mallowlink:
-// a transactional table, an object store and a lagging list of VMs.
-// Implementations that speak to them over HTTP are in package rest.
+// a transactional table, an object store and a list of VMs that may be out of date.
+// Package rest implements HTTP clients of these services.
 package platform
 
 import (
@@ -10,16 +10,18 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors that every implementation in this package's subpackages returns, possibly wrapped.
+// Errors that every implementation of the interfaces below returns, possibly wrapped.
 var (
-	// ErrNotFound says that the row or object does not exist.
+	// ErrNotFound means that the row or object does not exist.
 	ErrNotFound = errors.New("platform: not found")
-	// ErrConflict says that a condition of the transaction did not hold; nothing was written.
+	// ErrConflict means that a condition of the transaction did not hold, or that the object already
+	// exists; nothing was written.
 	ErrConflict = errors.New("platform: conflict")
-	// ErrUnavailable says that the service refused or could not be reached; nothing was written.
+	// ErrUnavailable means that the service refused the operation or could not be reached; nothing was
+	// written.
 	ErrUnavailable = errors.New("platform: unavailable")
-	// ErrUnknown says that the reply was lost: the write may or may not have taken effect.
-	// The caller reads the row back and compares Row.Attempt.
+	// ErrUnknown means that the response was lost: the write may or may not have taken effect.
+	// To find out, read the row back and compare Row.Attempt.
 	ErrUnknown = errors.New("platform: outcome unknown")
 )
 
@@ -28,12 +30,12 @@
 	Key string
 	// Version increases with every write of any row of the table. It is never reused.
 	Version uint64
-	// Attempt is the identifier of the transaction that wrote this version.
+	// Attempt is the Txn.Attempt of the transaction that wrote this version.
 	Attempt string
 	Value   []byte
 }
 
-// Condition requires that a row is at exactly Version when the transaction commits.
+// Condition requires that a row has exactly the given Version when the transaction commits.
 // Version 0 requires that the row is absent.
 type Condition struct {
 	Key     string
@@ -49,7 +51,8 @@
 
 // Txn is an atomic conditional write.
 type Txn struct {
-	// Attempt identifies this attempt uniquely. It is stored with every row that it writes.
+	// Attempt uniquely identifies this attempt to commit. It is stored with every row that the
+	// transaction writes.
 	Attempt    string
 	Conditions []Condition
 	Writes     []Write
@@ -61,7 +64,7 @@
 	Get(ctx context.Context, key string) (Row, error)
 	// List returns the rows whose keys begin with prefix, in key order.
 	List(ctx context.Context, prefix string) ([]Row, error)
-	// Commit applies txn and returns the version given to the rows that it wrote.
+	// Commit applies txn atomically and returns the version assigned to the rows that it wrote.
 	// It fails with ErrConflict, ErrUnavailable or ErrUnknown.
 	Commit(ctx context.Context, txn Txn) (uint64, error)
 }
@@ -78,34 +81,36 @@
 type VM struct {
 	ID            string
 	FailureDomain string
-	// PeerAddress is the host and port on which the VM takes calls from other VMs.
+	// PeerAddress is the host and port on which the VM accepts calls from other VMs.
 	PeerAddress string
-	// Leaving says that the platform is about to stop the VM.
+	// Leaving reports whether the platform is about to stop the VM.
 	Leaving bool
 }
 
-// VMLister returns the platform's list of VMs. The list lags behind the truth.
+// VMLister reads the platform's list of VMs.
 type VMLister interface {
+	// ListVMs returns the list. Recent changes of the fleet may be missing from it.
 	ListVMs(ctx context.Context) ([]VM, error)
 }
 
-// ErrCompacted says that a feed no longer holds the changes after the position asked for. The caller
-// takes a new snapshot.
+// ErrCompacted means that a feed no longer retains all changes after the requested position. Take a
+// new snapshot instead.
 var ErrCompacted = errors.New("platform: changes are no longer held")
 
-// Change is a row as a feed reports it.
+// Change is one change of a row, as reported by a Feed.
 type Change struct {
 	Row
-	// Removed says that the row was deleted; Value is empty then.
+	// Removed reports whether the row was deleted. If so, Value is empty.
 	Removed bool
 }
 
-// Feed follows the rows of one table. Positions are versions: those of a snapshot and of changes can
-// be compared with Row.Version.
+// Feed follows the rows of one table. A position in the feed is a version: the positions that
+// Snapshot and Changes return can be compared with Row.Version.
 type Feed interface {
-	// Snapshot returns all rows and the position that they stand for.
+	// Snapshot returns all rows and the position at which they were read.
 	Snapshot(ctx context.Context) ([]Row, uint64, error)
-	// Changes returns the changes after a position and the position that they lead to. If there are
-	// none it waits for one, at most for wait. It fails with ErrCompacted or ErrUnavailable.
+	// Changes returns the changes after a position and the position from which to continue. If there
+	// are none, Changes waits for one, for at most the duration wait. Changes fails with ErrCompacted
+	// or ErrUnavailable.
 	Changes(ctx context.Context, after uint64, wait time.Duration) ([]Change, uint64, error)
 }
