--- a/pkg/platform/rest/wire/wire.go
+++ b/pkg/platform/rest/wire/wire.go
@@ -1,9 +1,9 @@
-// Package wire holds the JSON messages of the platform's services.
+// Package wire defines the URL paths and JSON messages of the platform's services.
 package wire
 
 import "github.com/mallowlink/mallowlink/pkg/platform"
 
-// Paths of the services.
+// URL paths of the services.
 const (
 	RowPath     = "/v1/row"
 	RowsPath    = "/v1/rows"
@@ -12,13 +12,13 @@
 	VMsPath     = "/v1/vms"
 )
 
-// Parameters of the paths.
+// Query parameters of RowPath and RowsPath.
 const (
 	KeyParam    = "key"
 	PrefixParam = "prefix"
 )
 
-// Row is a row of the table. Value travels in base64.
+// Row is a row of the table. In JSON, Value is encoded in base64.
 type Row struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
@@ -26,32 +26,32 @@
 	Value   []byte `json:"value"`
 }
 
-// Rows answers a listing.
+// Rows is the response to a request for RowsPath.
 type Rows struct {
 	Rows []Row `json:"rows"`
 }
 
-// Condition is a condition of a transaction.
+// Condition requires that a row has the given version. Version 0 requires that the row is absent.
 type Condition struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 }
 
-// Write is one write of a transaction.
+// Write sets or deletes one row.
 type Write struct {
 	Key    string `json:"key"`
 	Value  []byte `json:"value,omitempty"`
 	Delete bool   `json:"delete,omitempty"`
 }
 
-// Txn is a transaction.
+// Txn is the request to commit a transaction.
 type Txn struct {
 	Attempt    string      `json:"attempt"`
 	Conditions []Condition `json:"conditions,omitempty"`
 	Writes     []Write     `json:"writes,omitempty"`
 }
 
-// Committed answers a transaction that was applied.
+// Committed is the response to a transaction that was applied.
 type Committed struct {
 	Version uint64 `json:"version"`
 }
@@ -64,12 +64,12 @@
 	Leaving       bool   `json:"leaving,omitempty"`
 }
 
-// VMs answers a listing.
+// VMs is the response to a request for VMsPath.
 type VMs struct {
 	VMs []VM `json:"vms"`
 }
 
-// FromTxn returns the message of a transaction.
+// FromTxn converts a transaction to its message.
 func FromTxn(txn platform.Txn) Txn {
 	out := Txn{Attempt: txn.Attempt}
 	for _, c := range txn.Conditions {
@@ -81,7 +81,7 @@
 	return out
 }
 
-// Txn returns the transaction of the message.
+// Txn converts the message to the transaction.
 func (t Txn) Txn() platform.Txn {
 	out := platform.Txn{Attempt: t.Attempt}
 	for _, c := range t.Conditions {
