--- a/pkg/platform/rest/client.go
+++ b/pkg/platform/rest/client.go
@@ -1,4 +1,4 @@
-// Package rest speaks to the platform's table, object store and list of VMs over HTTP.
+// Package rest implements HTTP clients of the platform's table, object store and list of VMs.
 package rest
 
 import (
@@ -20,44 +20,45 @@
 
 // Defaults of Options.
 const (
-	DefaultTimeout   = 2 * time.Second
-	DefaultMaxAnswer = 64 << 20 // bytes
+	DefaultTimeout          = 2 * time.Second
+	DefaultMaxResponseBytes = 64 << 20
 )
 
-// maxErrorText bounds the part of an error answer that is put in an error.
-const maxErrorText = 256 // bytes
+// maxErrorTextBytes limits how much of the body of an error response is copied into an error text.
+const maxErrorTextBytes = 256
 
-// Options configure the clients. Zero values mean the defaults.
+// Options configure the clients. Zero values select the defaults.
 type Options struct {
-	// Timeout bounds one operation.
+	// Timeout limits the duration of one operation, including reading the response.
 	Timeout time.Duration
-	// MaxAnswer bounds an answer, in bytes.
-	MaxAnswer int64
-	// Registry gets the counters platform.<service>.{reads,writes,unavailable,unknown}; nil means none.
+	// MaxResponseBytes limits the size of a response body.
+	MaxResponseBytes int64
+	// Registry receives the counters platform.<service>.{reads,writes,unavailable,unknown}. If it is
+	// nil, the counters are not published.
 	Registry metrics.Registry
 	HTTP     httponce.Options
 }
 
-// Error is a failure of an operation. It wraps one of platform's errors and the cause.
+// Error is a failed operation. It wraps one of the errors of package platform and the cause.
 type Error struct {
-	// Kind is one of platform's errors.
+	// Kind is one of the errors of package platform, such as platform.ErrUnavailable.
 	Kind  error
 	Cause error
 }
 
-// Error describes the failure.
+// Error returns the texts of the kind and the cause.
 func (e *Error) Error() string { return e.Kind.Error() + ": " + e.Cause.Error() }
 
 // Unwrap returns the kind and the cause.
 func (e *Error) Unwrap() []error { return []error{e.Kind, e.Cause} }
 
-// client sends operations to one service.
+// client sends operations to one service and counts them.
 type client struct {
-	base      string
-	http      *httponce.Client
-	timeout   time.Duration
-	maxAnswer int64
-	counters  counters
+	base             string
+	http             *httponce.Client
+	timeout          time.Duration
+	maxResponseBytes int64
+	counters         counters
 }
 
 type counters struct {
@@ -67,16 +68,18 @@
 	unknown     metrics.Counter
 }
 
+// newClient returns a client of the service at the base URL. The name of the service is part of the names
+// of its counters.
 func newClient(service, base string, opts Options) *client {
 	registry := opts.Registry
 	if registry == nil {
 		registry = metrics.NewRegistry()
 	}
 	c := &client{
-		base:      strings.TrimRight(base, "/"),
-		http:      httponce.New(opts.HTTP),
-		timeout:   opts.Timeout,
-		maxAnswer: opts.MaxAnswer,
+		base:             strings.TrimRight(base, "/"),
+		http:             httponce.New(opts.HTTP),
+		timeout:          opts.Timeout,
+		maxResponseBytes: opts.MaxResponseBytes,
 		counters: counters{
 			reads:       metrics.GetOrRegisterCounter("platform."+service+".reads", registry),
 			writes:      metrics.GetOrRegisterCounter("platform."+service+".writes", registry),
@@ -87,23 +90,27 @@
 	if c.timeout == 0 {
 		c.timeout = DefaultTimeout
 	}
-	if c.maxAnswer == 0 {
-		c.maxAnswer = DefaultMaxAnswer
+	if c.maxResponseBytes == 0 {
+		c.maxResponseBytes = DefaultMaxResponseBytes
 	}
 	return c
 }
 
-// operation is one call of the service.
+// operation is one request to a service.
 type operation struct {
 	method string
 	path   string
 	query  url.Values
 	header http.Header
 	body   []byte
-	write  bool
+	// write reports whether the operation may change data: if its response is lost, its outcome is
+	// unknown.
+	write bool
 }
 
-// do returns the body of a successful answer, else an *Error.
+// do performs and counts an operation. It returns the body of a successful response, else an
+// *Error. Exceptions are a request that cannot be built and a status below 500 that stands for none of
+// the errors of package platform: their error is not an *Error.
 func (c *client) do(ctx context.Context, op operation) ([]byte, error) {
 	if op.write {
 		c.counters.writes.Inc(1)
@@ -136,21 +143,23 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, lost(op, err)
+		return nil, noResponseError(op, err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxResponseBytes+1))
 	if err != nil {
-		return nil, afterHead(op, resp.StatusCode, err)
+		return nil, partialResponseError(op, resp.StatusCode, err)
 	}
-	if int64(len(body)) > c.maxAnswer {
-		return nil, afterHead(op, resp.StatusCode, errors.New("answer too large"))
+	if int64(len(body)) > c.maxResponseBytes {
+		err = errors.Errorf("response body exceeds %d bytes", c.maxResponseBytes)
+		return nil, partialResponseError(op, resp.StatusCode, err)
 	}
 	return body, statusError(op, resp.StatusCode, body)
 }
 
-// lost returns the error of an operation that got no answer.
-func lost(op operation, err error) error {
+// noResponseError returns the error of an operation that received no response. A write that was
+// sent may have been applied, so that its outcome is unknown.
+func noResponseError(op operation, err error) error {
 	var failed *httponce.Error
 	if op.write && errors.As(err, &failed) && failed.Sent {
 		return &Error{Kind: platform.ErrUnknown, Cause: err}
@@ -158,9 +167,9 @@
 	return &Error{Kind: platform.ErrUnavailable, Cause: err}
 }
 
-// afterHead returns the error of an operation whose answer has a head but no whole body. A head that
-// says that nothing was written is believed.
-func afterHead(op operation, status int, err error) error {
+// partialResponseError returns the error of an operation whose response has a status but no usable body.
+// The status of an error response is trusted, also where it means that nothing was written.
+func partialResponseError(op operation, status int, err error) error {
 	if status >= http.StatusMultipleChoices {
 		return statusError(op, status, []byte(err.Error()))
 	}
@@ -170,11 +179,13 @@
 	return &Error{Kind: platform.ErrUnavailable, Cause: err}
 }
 
+// statusError returns the error that a status stands for, or nil if it is a success. A write that failed
+// with a status of 500 or above, other than 503, may have been applied, so that its outcome is unknown.
 func statusError(op operation, status int, body []byte) error {
 	if status >= http.StatusOK && status < http.StatusMultipleChoices {
 		return nil
 	}
-	text := string(body[:min(len(body), maxErrorText)])
+	text := string(body[:min(len(body), maxErrorTextBytes)])
 	cause := errors.Errorf("%s %s: status %d: %s", op.method, op.path, status, text)
 	switch status {
 	case http.StatusNotFound:
@@ -193,10 +204,10 @@
 	return &Error{Kind: platform.ErrUnavailable, Cause: cause}
 }
 
-// decode reads a JSON answer. An answer that cannot be read counts as lost.
+// decode parses a JSON response. A response that is not valid is treated as lost.
 func decode(op operation, body []byte, out any) error {
 	if err := json.Unmarshal(body, out); err != nil {
-		return afterHead(op, http.StatusOK, errors.Wrap(err, "decode answer"))
+		return partialResponseError(op, http.StatusOK, errors.Wrap(err, "decode response"))
 	}
 	return nil
 }
--- a/pkg/platform/rest/client_test.go
+++ b/pkg/platform/rest/client_test.go
@@ -12,8 +12,9 @@
 	"github.com/mallowlink/mallowlink/pkg/platform"
 )
 
-// raw answers with exactly the given bytes and closes the connection.
-func raw(t *testing.T, answer string) string {
+// serveBytes starts a server that responds to each request with exactly the given bytes and then closes
+// the connection. It returns the URL of the server.
+func serveBytes(t *testing.T, response string) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -21,35 +22,38 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, answer)
+		_, _ = io.WriteString(conn, response)
 		conn.Close()
 	}))
 	t.Cleanup(server.Close)
 	return server.URL
 }
 
+// A write whose response is lost or damaged must be reported as of unknown outcome, as it may have been
+// applied; a read in the same case as unavailable. A refusal by the service, also one with a truncated
+// body, means that nothing was written.
 func TestErrorsOfReadsAndWrites(t *testing.T) {
 	cases := []struct {
-		name, answer string
-		read, write  error
+		name, response    string
+		readErr, writeErr error
 	}{
-		{"no answer", "", platform.ErrUnavailable, platform.ErrUnknown},
-		{"body cut", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{", platform.ErrUnavailable, platform.ErrUnknown},
+		{"no response", "", platform.ErrUnavailable, platform.ErrUnknown},
+		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{", platform.ErrUnavailable, platform.ErrUnknown},
 		{"not JSON", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{", platform.ErrUnavailable, platform.ErrUnknown},
 		{"outage", "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", platform.ErrUnavailable, platform.ErrUnavailable},
-		{"outage, body cut", "HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\n", platform.ErrUnavailable, platform.ErrUnavailable},
+		{"outage, truncated body", "HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\n", platform.ErrUnavailable, platform.ErrUnavailable},
 		{"server error", "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", platform.ErrUnavailable, platform.ErrUnknown},
-		{"gateway", "HTTP/1.1 502 X\r\nContent-Length: 0\r\n\r\n", platform.ErrUnavailable, platform.ErrUnknown},
+		{"bad gateway", "HTTP/1.1 502 X\r\nContent-Length: 0\r\n\r\n", platform.ErrUnavailable, platform.ErrUnknown},
 		{"conflict", "HTTP/1.1 409 X\r\nContent-Length: 0\r\n\r\n", platform.ErrConflict, platform.ErrConflict},
 		{"absent", "HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n", platform.ErrNotFound, platform.ErrNotFound},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			url := raw(t, c.answer)
+			url := serveBytes(t, c.response)
 			_, err := NewTable(url, Options{}).Get(t.Context(), "k")
-			require.ErrorIs(t, err, c.read)
+			require.ErrorIs(t, err, c.readErr)
 			_, err = NewTable(url, Options{}).Commit(t.Context(), platform.Txn{Attempt: "a"})
-			require.ErrorIs(t, err, c.write)
+			require.ErrorIs(t, err, c.writeErr)
 		})
 	}
 }
@@ -69,8 +73,8 @@
 	}
 }
 
-func TestAnswerLimit(t *testing.T) {
-	store := NewObjectStore(raw(t, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"), Options{MaxAnswer: 2})
+func TestResponseLimit(t *testing.T) {
+	store := NewObjectStore(serveBytes(t, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"), Options{MaxResponseBytes: 2})
 	_, err := store.Get(t.Context(), "o")
 	require.ErrorIs(t, err, platform.ErrUnavailable)
 }
--- a/pkg/platform/rest/services.go
+++ b/pkg/platform/rest/services.go
@@ -12,7 +12,7 @@
 	"github.com/mallowlink/mallowlink/pkg/platform/rest/wire"
 )
 
-// Table is the platform's table service.
+// Table is a client of the platform's table service.
 type Table struct{ client *client }
 
 // NewTable returns a client of the table service at the base URL.
@@ -22,7 +22,7 @@
 
 var _ platform.Table = (*Table)(nil)
 
-// Get returns one row.
+// Get returns one row, or platform.ErrNotFound.
 func (t *Table) Get(ctx context.Context, key string) (platform.Row, error) {
 	op := operation{method: http.MethodGet, path: wire.RowPath, query: url.Values{wire.KeyParam: {key}}}
 	body, err := t.client.do(ctx, op)
@@ -36,7 +36,7 @@
 	return platform.Row(row), nil
 }
 
-// List returns the rows whose keys begin with prefix.
+// List returns the rows whose keys begin with prefix, in key order.
 func (t *Table) List(ctx context.Context, prefix string) ([]platform.Row, error) {
 	op := operation{method: http.MethodGet, path: wire.RowsPath, query: url.Values{wire.PrefixParam: {prefix}}}
 	body, err := t.client.do(ctx, op)
@@ -54,7 +54,7 @@
 	return out, nil
 }
 
-// Commit applies a transaction.
+// Commit applies a transaction and returns the version assigned to the rows that it wrote.
 func (t *Table) Commit(ctx context.Context, txn platform.Txn) (uint64, error) {
 	body, err := json.Marshal(wire.FromTxn(txn))
 	if err != nil {
@@ -67,18 +67,18 @@
 		body:   body,
 		write:  true,
 	}
-	answer, err := t.client.do(ctx, op)
+	response, err := t.client.do(ctx, op)
 	if err != nil {
 		return 0, err
 	}
 	var committed wire.Committed
-	if err := decode(op, answer, &committed); err != nil {
+	if err := decode(op, response, &committed); err != nil {
 		return 0, err
 	}
 	return committed.Version, nil
 }
 
-// ObjectStore is the platform's object store.
+// ObjectStore is a client of the platform's object store.
 type ObjectStore struct{ client *client }
 
 // NewObjectStore returns a client of the object store at the base URL.
@@ -88,12 +88,12 @@
 
 var _ platform.ObjectStore = (*ObjectStore)(nil)
 
-// Get returns an object.
+// Get returns an object, or platform.ErrNotFound.
 func (s *ObjectStore) Get(ctx context.Context, name string) ([]byte, error) {
 	return s.client.do(ctx, operation{method: http.MethodGet, path: objectPath(name)})
 }
 
-// PutIfAbsent stores an object unless it exists.
+// PutIfAbsent stores an object unless it exists, in which case it returns platform.ErrConflict.
 func (s *ObjectStore) PutIfAbsent(ctx context.Context, name string, data []byte) error {
 	_, err := s.client.do(ctx, operation{
 		method: http.MethodPut,
@@ -107,7 +107,7 @@
 
 func objectPath(name string) string { return wire.ObjectsPath + url.PathEscape(name) }
 
-// VMLister is the platform's list of VMs.
+// VMLister is a client of the platform's list of VMs.
 type VMLister struct{ client *client }
 
 // NewVMLister returns a client of the list of VMs at the base URL.
@@ -117,7 +117,7 @@
 
 var _ platform.VMLister = (*VMLister)(nil)
 
-// ListVMs returns the list.
+// ListVMs returns the list, which may be out of date.
 func (l *VMLister) ListVMs(ctx context.Context) ([]platform.VM, error) {
 	op := operation{method: http.MethodGet, path: wire.VMsPath}
 	body, err := l.client.do(ctx, op)
--- a/pkg/platform/rest/standin_test.go
+++ b/pkg/platform/rest/standin_test.go
@@ -18,6 +18,7 @@
 	"github.com/mallowlink/mallowlink/pkg/standin/vmlist"
 )
 
+// serve starts an HTTP server for the handler and returns its URL.
 func serve(t testing.TB, handler http.Handler) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -25,16 +26,17 @@
 	return server.URL
 }
 
-// The table over HTTP behaves as the table in memory does.
+// The client over HTTP must return the same rows, versions and errors as the in-memory table called
+// directly.
 func TestTableOverHTTP(t *testing.T) {
 	remote := rest.NewTable(serve(t, table.New()), rest.Options{})
-	naive := table.New()
+	inMemory := table.New()
 	keys := rapid.SampledFrom([]string{"a/1", "a/2", "b?&=%", "a"})
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := t.Context()
 		for range rapid.IntRange(1, 5).Draw(t, "steps") {
 			key := keys.Draw(t, "key")
-			want, wantErr := naive.Get(ctx, key)
+			want, wantErr := inMemory.Get(ctx, key)
 			got, err := remote.Get(ctx, key)
 			require.Equal(t, want, got)
 			require.ErrorIs(t, err, errorOf(wantErr))
@@ -47,19 +49,19 @@
 					Delete: rapid.Bool().Draw(t, "delete"),
 				}},
 			}
-			wantVersion, wantErr := naive.Commit(ctx, txn)
+			wantVersion, wantErr := inMemory.Commit(ctx, txn)
 			version, err := remote.Commit(ctx, txn)
 			require.Equal(t, wantVersion, version)
 			require.ErrorIs(t, err, errorOf(wantErr))
 		}
-		want, _ := naive.List(ctx, "a/")
+		want, _ := inMemory.List(ctx, "a/")
 		got, err := remote.List(ctx, "a/")
 		require.NoError(t, err)
 		require.Equal(t, want, got)
 	})
 }
 
-// errorOf returns the platform error that err wraps.
+// errorOf returns platform.ErrNotFound or platform.ErrConflict if err wraps it, else err.
 func errorOf(err error) error {
 	for _, kind := range []error{platform.ErrNotFound, platform.ErrConflict} {
 		if errors.Is(err, kind) {
@@ -69,7 +71,9 @@
 	return err
 }
 
-func TestLostReplyAndOutage(t *testing.T) {
+// A write whose response is lost or late has an unknown outcome and can be found again by its attempt.
+// During an outage reads and writes must be reported as unavailable.
+func TestLostResponseAndOutage(t *testing.T) {
 	server := table.New()
 	remote := rest.NewTable(serve(t, server), rest.Options{})
 	txn := platform.Txn{Attempt: "x", Writes: []platform.Write{{Key: "k", Value: []byte("v")}}}
@@ -94,6 +98,7 @@
 	require.ErrorIs(t, err, platform.ErrUnknown)
 }
 
+// Names of objects with characters that are special in URLs must reach the store unchanged.
 func TestObjects(t *testing.T) {
 	store := rest.NewObjectStore(serve(t, object.New()), rest.Options{})
 	for _, name := range []string{"plain", "bundle/1/ab cd", "a//b", "x%2F?y"} {
@@ -107,7 +112,9 @@
 	}
 }
 
-func TestVMsLag(t *testing.T) {
+// While the list lags by 60 s, the lister must return the list as it was 60 s ago: empty, as no VM had
+// registered yet.
+func TestVMListLag(t *testing.T) {
 	server := vmlist.New(vmlist.Options{})
 	lister := rest.NewVMLister(serve(t, server), rest.Options{})
 	vm := platform.VM{ID: "vm1", FailureDomain: "garia", PeerAddress: "127.0.0.1:1"}
@@ -122,7 +129,7 @@
 	server.Remove("vm1")
 	vms, err = lister.ListVMs(t.Context())
 	require.NoError(t, err)
-	require.Empty(t, vms) // as it was before the first VM registered
+	require.Empty(t, vms) // the list from before the first VM registered
 	server.Faults.ClearAll()
 	vms, err = lister.ListVMs(t.Context())
 	require.NoError(t, err)
