--- a/pkg/budget/budget_test.go
+++ b/pkg/budget/budget_test.go
@@ -49,8 +49,8 @@
 func (f *loadingFleet) attach(v *fleettest.VM) fleettest.Attachment {
 	cfg := budget.Config{ID: v.ID, Incarnation: v.Incarnation}
 	permitsReady := make(chan struct{}, 1)
-	home := budget.NewHome(v.Ctx, cfg, v.Manager, v.Registry, v.Caller, f.limits)
-	holder := budget.NewHolder(v.Ctx, cfg, home, v.Manager, v.Caller, func() {
+	home := budget.NewHome(v.Ctx, cfg, v.Manager, v.Registry, v.PeerClient, f.limits)
+	holder := budget.NewHolder(v.Ctx, cfg, home, v.Manager, v.PeerClient, func() {
 		select {
 		case permitsReady <- struct{}{}:
 		default:
--- a/pkg/fleettest/chaos.go
+++ b/pkg/fleettest/chaos.go
@@ -7,59 +7,62 @@
 	"time"
 )
 
-// Chaos brings faults about in a fleet, drawn from a seed. Faults overlap.
+// Chaos injects random faults into a fleet. The choice and the length of the faults depend on a
+// seed, and faults may overlap in time. A Chaos is not safe for concurrent use.
 type Chaos struct {
-	fleet *Fleet
-	rnd   *rand.Rand
-	spare int
-	// Trace holds one line for each fault.
-	Trace []string
-	begun time.Time
+	fleet  *Fleet
+	rnd    *rand.Rand
+	spares int
+	// Trace holds one line for each injected fault, with the time since the start in seconds.
+	Trace   []string
+	started time.Time
 }
 
-// NewChaos returns a source of faults for the fleet.
+// NewChaos returns a fault injector for the fleet. The given seed determines the sequence of faults.
 func NewChaos(f *Fleet, seed int64) *Chaos {
-	return &Chaos{fleet: f, rnd: rand.New(rand.NewSource(seed)), begun: time.Now()}
+	return &Chaos{fleet: f, rnd: rand.New(rand.NewSource(seed)), started: time.Now()}
 }
 
-// Pace of faults.
+// Bounds of the random delays before faults and of the random lengths of faults.
 const (
-	shortestCalm = 200 * time.Millisecond
-	longestCalm  = 6 * time.Second
-	shortFault   = 5 * time.Second
-	longFault    = 15 * time.Second
-	longOutage   = 60 * time.Second
-	// settleTime is what the platform's list and the leases may need after the last fault has ended.
-	settleTime = 100 * time.Second
+	minDelay         = 200 * time.Millisecond
+	maxFaultInterval = 6 * time.Second
+	maxShortFault    = 5 * time.Second
+	maxLongFault     = 15 * time.Second
+	maxOutage        = 60 * time.Second
+	// settlingTime is how long the platform's list of VMs and the leases may need to become
+	// stable again after the last fault has ended.
+	settlingTime = 100 * time.Second
 )
 
-// Run brings about n faults, ends them all and waits until the fleet should have settled.
+// Run injects n faults at random intervals, waits until the longest of them must have ended, and
+// then for the settling time.
 func (c *Chaos) Run(n int) {
 	faults := []func(*VM){
 		c.pause, c.kill, c.vanish, c.cut, c.isolate, c.loss,
 		c.storeDown, c.storeDownForOne, c.loseReplies, c.delayWrites, c.drain,
 	}
 	for range n {
-		time.Sleep(c.between(shortestCalm, longestCalm))
-		if v := c.pick(); v != nil {
+		time.Sleep(c.randomDuration(minDelay, maxFaultInterval))
+		if v := c.pickRunningVM(); v != nil {
 			faults[c.rnd.Intn(len(faults))](v)
 		}
 	}
-	time.Sleep(longOutage)
-	time.Sleep(settleTime)
+	time.Sleep(maxOutage)
+	time.Sleep(settlingTime)
 }
 
-func (c *Chaos) between(low, high time.Duration) time.Duration {
+func (c *Chaos) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(c.rnd.Int63n(int64(high-low)))
 }
 
-func (c *Chaos) note(format string, args ...any) {
-	line := fmt.Sprintf("%8.3fs ", time.Since(c.begun).Seconds()) + fmt.Sprintf(format, args...)
+func (c *Chaos) record(format string, args ...any) {
+	line := fmt.Sprintf("%8.3fs ", time.Since(c.started).Seconds()) + fmt.Sprintf(format, args...)
 	c.Trace = append(c.Trace, line)
 }
 
-// pick returns a VM that runs, if there are enough.
-func (c *Chaos) pick() *VM {
+// pickRunningVM returns a random VM whose process is running, or nil if there is none.
+func (c *Chaos) pickRunningVM() *VM {
 	var running []*VM
 	for _, v := range c.fleet.VMs() {
 		if !v.Dead() {
@@ -73,15 +76,15 @@
 }
 
 func (c *Chaos) pause(v *VM) {
-	d := c.between(shortestCalm, longFault)
-	c.note("pause %s for %v", v.ID, d)
+	d := c.randomDuration(minDelay, maxLongFault)
+	c.record("pause %s for %v", v.ID, d)
 	v.Gate.Close()
 	time.AfterFunc(d, v.Gate.Open)
 }
 
 func (c *Chaos) kill(v *VM) {
-	d := c.between(shortestCalm, longFault)
-	c.note("kill %s, restart after %v", v.ID, d)
+	d := c.randomDuration(minDelay, maxLongFault)
+	c.record("kill %s, restart after %v", v.ID, d)
 	c.fleet.Kill(v)
 	time.AfterFunc(d, func() { c.restart(v.ID) })
 }
@@ -94,30 +97,30 @@
 }
 
 func (c *Chaos) vanish(v *VM) {
-	lag := c.between(0, longFault)
-	c.spare++
-	id := fmt.Sprintf("spare%d", c.spare)
-	c.note("vanish %s, replaced by %s, list lags %v", v.ID, id, lag)
+	lag := c.randomDuration(0, maxLongFault)
+	c.spares++
+	id := fmt.Sprintf("spare%d", c.spares)
+	c.record("vanish %s, replaced by %s, list lags %v", v.ID, id, lag)
 	c.fleet.Vanish(v)
-	time.AfterFunc(c.between(0, longFault), func() {
+	time.AfterFunc(c.randomDuration(0, maxLongFault), func() {
 		if c.fleet.Ctx.Err() == nil {
 			c.fleet.Start(id)
 		}
 	})
-	time.AfterFunc(longFault+lag, c.fleet.Publish)
+	time.AfterFunc(maxLongFault+lag, c.fleet.Publish)
 }
 
 func (c *Chaos) cut(v *VM) {
-	w := c.pick()
-	d := c.between(shortestCalm, longFault)
-	c.note("cut %s from %s for %v", v.ID, w.ID, d)
+	w := c.pickRunningVM()
+	d := c.randomDuration(minDelay, maxLongFault)
+	c.record("cut %s from %s for %v", v.ID, w.ID, d)
 	c.fleet.Net.SetCut(v.Address, w.Address, v != w)
 	time.AfterFunc(d, func() { c.fleet.Net.SetCut(v.Address, w.Address, false) })
 }
 
 func (c *Chaos) isolate(v *VM) {
-	d := c.between(shortestCalm, longFault)
-	c.note("isolate %s from its peers for %v", v.ID, d)
+	d := c.randomDuration(minDelay, maxLongFault)
+	c.record("isolate %s from its peers for %v", v.ID, d)
 	for _, w := range c.fleet.VMs() {
 		if v.ID != w.ID {
 			c.fleet.Net.SetCut(v.Address, w.Address, true)
@@ -127,44 +130,44 @@
 }
 
 func (c *Chaos) loss(*VM) {
-	d := c.between(shortestCalm, shortFault)
+	d := c.randomDuration(minDelay, maxShortFault)
 	share := c.rnd.Float64() / 3
-	c.note("lose %.0f %% of requests and of replies between VMs for %v", 100*share, d)
+	c.record("lose %.0f %% of requests and of replies between VMs for %v", 100*share, d)
 	c.fleet.Net.SetLoss(share)
 	time.AfterFunc(d, func() { c.fleet.Net.SetLoss(0) })
 }
 
 func (c *Chaos) storeDown(*VM) {
-	d := c.between(shortestCalm, longOutage)
-	c.note("store down for %v", d)
+	d := c.randomDuration(minDelay, maxOutage)
+	c.record("store down for %v", d)
 	c.fleet.Table.SetDown(true)
 	time.AfterFunc(d, func() { c.fleet.Table.SetDown(false) })
 }
 
 func (c *Chaos) storeDownForOne(v *VM) {
-	c.tableFaults(v, TableFaults{Down: true}, longFault, "store down for %s for %v")
+	c.tableFaults(v, TableFaults{Down: true}, maxLongFault, "store down for %s for %v")
 }
 
 func (c *Chaos) loseReplies(v *VM) {
-	c.tableFaults(v, TableFaults{LoseReplies: 0.5}, shortFault, "store's replies to %s lost for %v")
+	c.tableFaults(v, TableFaults{LoseReplies: 0.5}, maxShortFault, "store's replies to %s lost for %v")
 }
 
 func (c *Chaos) delayWrites(v *VM) {
-	c.tableFaults(v, TableFaults{DelayWrites: 0.5}, shortFault, "writes of %s delayed for %v")
+	c.tableFaults(v, TableFaults{DelayWrites: 0.5}, maxShortFault, "writes of %s delayed for %v")
 }
 
 func (c *Chaos) tableFaults(v *VM, faults TableFaults, limit time.Duration, format string) {
-	d := c.between(shortestCalm, limit)
-	c.note(format, v.ID, d)
+	d := c.randomDuration(minDelay, limit)
+	c.record(format, v.ID, d)
 	c.fleet.Table.SetFaults(v.ID, faults)
 	time.AfterFunc(d, func() { c.fleet.Table.SetFaults(v.ID, TableFaults{}) })
 }
 
 func (c *Chaos) drain(v *VM) {
-	c.note("planned stop of %s", v.ID)
-	restart := c.between(shortestCalm, longFault)
+	c.record("planned stop of %s", v.ID)
+	restart := c.randomDuration(minDelay, maxLongFault)
 	go func() {
-		ctx, cancel := context.WithTimeout(v.Ctx, longFault)
+		ctx, cancel := context.WithTimeout(v.Ctx, maxLongFault)
 		defer cancel()
 		_ = v.Manager.Drain(ctx)
 		if !v.Dead() {
--- a/pkg/fleettest/fleet.go
+++ b/pkg/fleettest/fleet.go
@@ -17,17 +17,19 @@
 	"github.com/mallowlink/mallowlink/pkg/platform"
 )
 
-// Fleet is a set of VMs with real registries and lease managers on fakes.
+// Fleet is a set of VMs in one process. Each VM has a real membership registry and a real lease
+// manager, which use the fakes of the table service, the network and the platform's list of VMs.
 type Fleet struct {
 	Ctx    context.Context
 	Table  *Table
 	Net    *Network
 	Lister *Lister
-	// Names are the leases that should be held.
+	// Names are the names of the leases that the VMs' managers try to keep held.
 	Names []string
-	// Attach, if set, adds to a VM that is about to start.
+	// Attach, if set, is called for each VM before it starts and returns the components that the
+	// test adds to it.
 	Attach func(*VM) Attachment
-	// Log takes the VMs' log lines.
+	// Log receives the VMs' log lines.
 	Log logrus.FieldLogger
 
 	cancel context.CancelFunc
@@ -38,20 +40,23 @@
 	starts int
 }
 
-// Attachment is what a test adds to a VM.
+// Attachment holds the components that a test adds to a VM. Every field may be left unset.
 type Attachment struct {
+	// Listener is notified of the leases that the VM gains and loses.
 	Listener lease.Listener
+	// Services are further RPC services of the VM, by name.
 	Services map[string]any
-	State    func(name string) []byte
-	Note     func(name string) []byte
+	// State and Note serve as the functions of the same names in the VM's lease.Config.
+	State func(name string) []byte
+	Note  func(name string) []byte
 }
 
-// VM is one VM of a Fleet.
+// VM is one incarnation of a VM of a Fleet: a restart yields a new VM value with the same ID.
 type VM struct {
 	ID, Address, Incarnation string
 	Ctx                      context.Context
 	Gate                     *Gate
-	Caller                   peer.Client
+	PeerClient               peer.Client
 	Registry                 *membership.Registry
 	Manager                  *lease.Manager
 
@@ -65,26 +70,26 @@
 	losses []string
 }
 
-// Dead reports whether the VM's process has ended.
+// Dead reports whether the VM's process was ended by Kill or Vanish.
 func (v *VM) Dead() bool {
 	v.fleet.mu.Lock()
 	defer v.fleet.mu.Unlock()
 	return v.dead
 }
 
-// Rand returns a source of chance of the VM's own, drawn from seed.
+// Rand returns a random number generator for this incarnation of the VM, derived from the seed.
 func (v *VM) Rand(seed int64) *rand.Rand {
 	return rand.New(rand.NewSource(seed ^ int64(xxhash.Sum64String(v.ID+v.Incarnation))))
 }
 
-// VMs returns every VM that was started, the dead ones included.
+// VMs returns every VM that was started, in the order of the starts and including the dead ones.
 func (f *Fleet) VMs() []*VM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*VM(nil), f.vms...)
 }
 
-// LeaseGained records the grant and passes it on.
+// LeaseGained records the grant and notifies the test's listener, if there is one.
 func (v *VM) LeaseGained(grant lease.Grant) {
 	v.mu.Lock()
 	v.gains = append(v.gains, grant)
@@ -94,7 +99,7 @@
 	}
 }
 
-// LeaseLost records the loss and passes it on.
+// LeaseLost records the loss and notifies the test's listener, if there is one.
 func (v *VM) LeaseLost(name string) {
 	v.mu.Lock()
 	v.losses = append(v.losses, name)
@@ -104,40 +109,42 @@
 	}
 }
 
-// Gains returns the grants that the VM has been told of.
+// Gains returns the grants that the lease manager has reported to the VM.
 func (v *VM) Gains() []lease.Grant {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return append([]lease.Grant(nil), v.gains...)
 }
 
-// Losses returns the losses that the VM has been told of.
+// Losses returns the names of the leases that the manager has reported as lost.
 func (v *VM) Losses() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return append([]string(nil), v.losses...)
 }
 
-// gatedRegistry pauses the manager's guard together with the rest of the VM.
+// gatedRegistry is a registry whose Live blocks while the VM is paused, so that a pause also stops
+// the lease manager's guard.
 type gatedRegistry struct {
 	*membership.Registry
 	gate *Gate
 }
 
-// Live returns the members that answer, unless the VM is paused.
+// Live returns the members that respond. It blocks while the VM is paused.
 func (g gatedRegistry) Live() []membership.Member {
 	g.gate.Pass()
 	return g.Registry.Live()
 }
 
-// Quiet returns a log that drops everything.
+// Quiet returns a logger that discards all log lines.
 func Quiet() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// NewFleet returns a fleet without VMs whose faults are drawn from seed.
+// NewFleet returns a fleet without VMs, whose leases have the given names. The seed determines the
+// random faults of its table and network.
 func NewFleet(ctx context.Context, seed int64, names []string) *Fleet {
 	ctx, cancel := context.WithCancel(ctx)
 	return &Fleet{
@@ -146,7 +153,7 @@
 	}
 }
 
-// StartAll starts n VMs and puts them on the platform's list.
+// StartAll starts n VMs, named vm0, vm1 and so on, and publishes them on the platform's list.
 func (f *Fleet) StartAll(n int) {
 	for i := range n {
 		f.Start(fmt.Sprintf("vm%d", i))
@@ -154,19 +161,19 @@
 	f.Publish()
 }
 
-// drainTime is what calls under way at the end of a test may still take.
-const drainTime = 20 * time.Second
+// stopTime is how long calls in progress at the end of a test may still take.
+const stopTime = 20 * time.Second
 
-// Stop ends every VM and waits for the calls under way.
+// Stop ends every VM, the paused ones included, and waits for the calls in progress.
 func (f *Fleet) Stop() {
 	f.cancel()
 	for _, v := range f.VMs() {
 		v.Gate.Open()
 	}
-	time.Sleep(drainTime)
+	time.Sleep(stopTime)
 }
 
-// Publish puts every VM that is not dead on the platform's list.
+// Publish sets the platform's list to the VMs that are not dead.
 func (f *Fleet) Publish() {
 	var list []platform.VM
 	for _, v := range f.VMs() {
@@ -177,14 +184,15 @@
 	f.Lister.Set(list)
 }
 
-// Start starts a VM. If one of that ID was there, it starts a new incarnation at its address.
+// Start starts a VM. If a VM with the ID was started before, the new one is another incarnation at
+// the same address. Start does not change the platform's list: see Publish.
 func (f *Fleet) Start(id string) *VM {
 	v := &VM{ID: id, Address: id + ":1", Incarnation: f.nextIncarnation(), Gate: &Gate{}, fleet: f}
 	v.Ctx, v.stop = context.WithCancel(f.Ctx)
-	v.Caller = f.Net.Caller(v.Address, v.Gate)
+	v.PeerClient = f.Net.Client(v.Address, v.Gate)
 	v.Registry = membership.New(membership.Config{
 		ID: id, Incarnation: v.Incarnation, FailureDomain: "a", PeerAddress: v.Address,
-	}, f.Lister, v.Caller, f.Log.WithField("vm_self", id))
+	}, f.Lister, v.PeerClient, f.Log.WithField("vm_self", id))
 	var attached Attachment
 	config := lease.Config{
 		ID: id, Incarnation: v.Incarnation, Address: v.Address,
@@ -203,7 +211,7 @@
 		},
 	}
 	registry := gatedRegistry{v.Registry, v.Gate}
-	v.Manager = lease.NewManager(config, f.Table.Client(id, v.Gate), registry, v.Caller, v, f.Log.WithField("vm_self", id))
+	v.Manager = lease.NewManager(config, f.Table.Client(id, v.Gate), registry, v.PeerClient, v, f.Log.WithField("vm_self", id))
 	if f.Attach != nil {
 		attached = f.Attach(v)
 	}
@@ -224,7 +232,7 @@
 	return fmt.Sprintf("%016x", f.starts)
 }
 
-func (f *Fleet) listen(v *VM, more map[string]any) {
+func (f *Fleet) listen(v *VM, extra map[string]any) {
 	v.Registry.SetStatus(func() membership.Status {
 		var s membership.Status
 		s.StoreDown, s.LeaseSeen, s.Claims = v.Manager.Status()
@@ -235,25 +243,25 @@
 		membership.ServiceName: v.Registry.Service(),
 		lease.ServiceName:      v.Manager.Service(),
 	}
-	for name, service := range more {
+	for name, service := range extra {
 		services[name] = service
 	}
 	f.Net.Listen(v.Address, v.Gate, services)
 }
 
-// Kill ends the VM's process: its address refuses connections.
+// Kill ends the VM's process. The VM's address refuses connections from then on.
 func (f *Fleet) Kill(v *VM) {
 	f.Net.Kill(v.Address)
-	f.end(v)
+	f.terminate(v)
 }
 
-// Vanish ends the whole VM: its address does not answer.
+// Vanish ends the whole VM. Calls to its address get no response from then on.
 func (f *Fleet) Vanish(v *VM) {
 	f.Net.Vanish(v.Address)
-	f.end(v)
+	f.terminate(v)
 }
 
-func (f *Fleet) end(v *VM) {
+func (f *Fleet) terminate(v *VM) {
 	f.mu.Lock()
 	v.dead = true
 	f.mu.Unlock()
@@ -261,7 +269,7 @@
 	v.Gate.Open()
 }
 
-// Holders returns the VMs that hold the lease by their own clocks.
+// Holders returns the VMs that are not dead and that hold the lease according to their own clocks.
 func (f *Fleet) Holders(name string) []*VM {
 	var holders []*VM
 	for _, v := range f.VMs() {
@@ -275,9 +283,10 @@
 	return holders
 }
 
-const holderPoll = 10 * time.Millisecond
+const holderPollInterval = 10 * time.Millisecond
 
-// WaitHolder waits for the lease's holder and returns it, nil if there is none within the limit.
+// WaitHolder waits until a VM holds the lease and returns that VM, or nil if none does within the
+// limit.
 func (f *Fleet) WaitHolder(name string, limit time.Duration) *VM {
 	deadline := time.Now().Add(limit)
 	for {
@@ -287,6 +296,6 @@
 		if !time.Now().Before(deadline) {
 			return nil
 		}
-		time.Sleep(holderPoll)
+		time.Sleep(holderPollInterval)
 	}
 }
--- a/pkg/fleettest/network.go
+++ b/pkg/fleettest/network.go
@@ -14,13 +14,14 @@
 	"github.com/mallowlink/mallowlink/pkg/platform"
 )
 
-// Gate stops a VM's work while it is closed, as a pause of its process does.
+// Gate simulates a pause of a VM's process: while it is closed, calls of Pass block. The zero value
+// is open.
 type Gate struct {
 	mu     sync.Mutex
 	closed chan struct{}
 }
 
-// Close pauses the VM.
+// Close pauses the VM until Open is called.
 func (g *Gate) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -55,22 +56,25 @@
 	}
 }
 
-// Network carries calls between VMs by reflection on net/rpc style services.
+// Network is an in-memory network between VMs. It dispatches calls by reflection to services whose
+// methods have the form that net/rpc requires.
 type Network struct {
-	mu    sync.Mutex
-	nodes map[string]*Node // by address
-	cut   map[[2]string]bool
-	loss  float64
-	rnd   *rand.Rand
-	// Observe, if set before use, is called with each call's arguments and reply.
+	mu   sync.Mutex
+	vms  map[string]*networkVM // by address
+	cut  map[[2]string]bool
+	loss float64
+	rnd  *rand.Rand
+	// Observe, if set, is called with the arguments and the reply of each call that succeeds. It
+	// must be set before the first call.
 	Observe func(from, to, method string, args, reply any)
 }
 
-// Node is one VM on the network.
-type Node struct {
-	Gate     *Gate
+// networkVM is one VM on the network.
+type networkVM struct {
+	gate     *Gate
 	services map[string]any
-	// refusing says that the process is gone, vanished that the whole VM is.
+	// refusing means that the process has ended, vanished that the whole VM is gone. Both are
+	// guarded by Network.mu.
 	refusing, vanished bool
 }
 
@@ -79,38 +83,40 @@
 // NewNetwork returns a network without VMs.
 func NewNetwork(seed int64) *Network {
 	return &Network{
-		nodes: map[string]*Node{},
-		cut:   map[[2]string]bool{},
-		rnd:   rand.New(rand.NewSource(seed)),
+		vms: map[string]*networkVM{},
+		cut: map[[2]string]bool{},
+		rnd: rand.New(rand.NewSource(seed)),
 	}
 }
 
-// Listen makes services, by name, reachable at the address. It replaces what was there.
+// Listen makes services, keyed by name, reachable at the address. It replaces the VM that had the
+// address before, if any.
 func (n *Network) Listen(address string, gate *Gate, services map[string]any) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.nodes[address] = &Node{Gate: gate, services: services}
+	n.vms[address] = &networkVM{gate: gate, services: services}
 }
 
-// Kill ends the process at the address: connections are refused.
+// Kill makes the address refuse connections, as after the end of the VM's process.
 func (n *Network) Kill(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if node := n.nodes[address]; node != nil {
-		node.refusing = true
+	if vm := n.vms[address]; vm != nil {
+		vm.refusing = true
 	}
 }
 
-// Vanish ends the whole VM at the address: nothing answers.
+// Vanish makes calls to the address go without response, as after the loss of the whole VM.
 func (n *Network) Vanish(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if node := n.nodes[address]; node != nil {
-		node.vanished = true
+	if vm := n.vms[address]; vm != nil {
+		vm.vanished = true
 	}
 }
 
-// SetCut cuts or mends the way between two addresses, in both directions.
+// SetCut interrupts (cut is true) or restores the connection between two addresses, in both
+// directions.
 func (n *Network) SetCut(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -118,59 +124,63 @@
 	n.cut[[2]string{b, a}] = cut
 }
 
-// SetLoss sets the share of requests, and of replies, that are lost.
+// SetLoss sets the share of requests, and separately of replies, that are lost: from 0 to 1.
 func (n *Network) SetLoss(share float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loss = share
 }
 
-// Client returns the network as the VM at the address reaches it.
-func (n *Network) Caller(from string, gate *Gate) peer.Client {
-	return &networkCaller{network: n, from: from, gate: gate}
+// Client returns a peer client that calls from the given address. Its calls block while the gate is
+// closed. The gate may be nil.
+func (n *Network) Client(from string, gate *Gate) peer.Client {
+	return &networkClient{network: n, from: from, gate: gate}
 }
 
-type networkCaller struct {
+type networkClient struct {
 	network *Network
 	from    string
 	gate    *Gate
 }
 
-// route returns the node that the call reaches, and whether the request and the reply are lost.
-func (n *Network) route(from, to string) (node *Node, lost, replyLost bool) {
+// route returns the VM at the address to, nil if there is none, and whether the request and the
+// reply are lost.
+func (n *Network) route(from, to string) (vm *networkVM, lost, replyLost bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	node = n.nodes[to]
+	vm = n.vms[to]
 	lost = n.cut[[2]string{from, to}] || n.rnd.Float64() < n.loss
 	replyLost = n.rnd.Float64() < n.loss
-	return node, lost || node != nil && node.vanished, replyLost
+	return vm, lost || vm != nil && vm.vanished, replyLost
 }
 
-// Call carries one call.
-func (c *networkCaller) Call(ctx context.Context, address, method string, args, reply any) error {
+// Call calls the method on the VM at the address. If the request or the reply is lost, Call blocks
+// until ctx ends and returns peer.ErrUnreachable.
+func (c *networkClient) Call(ctx context.Context, address, method string, args, reply any) error {
 	c.gate.Pass()
 	defer c.gate.Pass()
-	node, lost, replyLost := c.network.route(c.from, address)
+	vm, lost, replyLost := c.network.route(c.from, address)
 	time.Sleep(networkLatency)
 	if lost {
 		<-ctx.Done()
 		return peer.ErrUnreachable
 	}
-	if node == nil || c.network.gone(node) {
+	if vm == nil || c.network.refuses(vm) {
 		return peer.ErrRefused
 	}
-	answer := reflect.New(reflect.TypeOf(reply).Elem())
+	response := reflect.New(reflect.TypeOf(reply).Elem())
 	done := make(chan error, 1)
-	go func() { done <- c.network.dispatch(node, method, args, answer) }()
+	go func() { done <- c.network.dispatch(vm, method, args, response) }()
 	select {
 	case <-ctx.Done():
 		return peer.ErrUnreachable
 	case err := <-done:
-		return c.receive(ctx, address, method, args, reply, answer, err, replyLost)
+		return c.receive(ctx, address, method, args, reply, response, err, replyLost)
 	}
 }
 
-func (c *networkCaller) receive(ctx context.Context, address, method string, args, reply any, answer reflect.Value, err error, lost bool) error {
+// receive copies the response into reply, or blocks until ctx ends if the reply is lost.
+func (c *networkClient) receive(ctx context.Context, address, method string, args, reply any, response reflect.Value, err error, lost bool) error {
 	if lost {
 		<-ctx.Done()
 		return peer.ErrUnreachable
@@ -179,42 +189,45 @@
 	if err != nil {
 		return err
 	}
-	reflect.ValueOf(reply).Elem().Set(answer.Elem())
+	reflect.ValueOf(reply).Elem().Set(response.Elem())
 	if c.network.Observe != nil {
 		c.network.Observe(c.from, address, method, args, reply)
 	}
 	return nil
 }
 
-func (n *Network) gone(node *Node) bool {
+// refuses reports whether the VM's process has ended, so that its address refuses connections.
+func (n *Network) refuses(vm *networkVM) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return node.refusing
+	return vm.refusing
 }
 
-func (n *Network) dispatch(node *Node, method string, args any, answer reflect.Value) error {
-	node.Gate.Pass()
-	if n.gone(node) {
+// dispatch runs the method on the VM, as soon as the VM is not paused, and writes its result to
+// response.
+func (n *Network) dispatch(vm *networkVM, method string, args any, response reflect.Value) error {
+	vm.gate.Pass()
+	if n.refuses(vm) {
 		return peer.ErrUnreachable
 	}
 	service, name, _ := strings.Cut(method, ".")
-	handler := reflect.ValueOf(node.services[service]).MethodByName(name)
+	handler := reflect.ValueOf(vm.services[service]).MethodByName(name)
 	if !handler.IsValid() {
 		return errors.Errorf("rpc: no method %s", method)
 	}
 	in := reflect.ValueOf(args)
 	if in.Kind() != reflect.Pointer {
-		boxed := reflect.New(in.Type())
-		boxed.Elem().Set(in)
-		in = boxed
+		pointer := reflect.New(in.Type())
+		pointer.Elem().Set(in)
+		in = pointer
 	}
-	out := handler.Call([]reflect.Value{in, answer})
-	node.Gate.Pass()
+	out := handler.Call([]reflect.Value{in, response})
+	vm.gate.Pass()
 	err, _ := out[0].Interface().(error)
 	return err
 }
 
-// Lister is the platform's list of VMs.
+// Lister is a fake of the platform's list of VMs.
 type Lister struct {
 	mu  sync.Mutex
 	vms []platform.VM
--- a/pkg/fleettest/table.go
+++ b/pkg/fleettest/table.go
@@ -1,5 +1,6 @@
-// Package fleettest holds in-memory fakes of the platform and of the network between VMs, with
-// faults that a test switches on and off. They work in real time and in testing/synctest bubbles.
+// Package fleettest provides in-memory fakes of the platform and of the network between VMs, with
+// faults that a test switches on and off, a fleet of VMs that use these fakes, and a generator of
+// random faults. They work in real time and in testing/synctest bubbles.
 package fleettest
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/mallowlink/mallowlink/pkg/platform"
 )
 
-// Table is a linearizable in-memory table service.
+// Table is a linearizable in-memory fake of the platform's table service.
 type Table struct {
 	mu      sync.Mutex
 	rows    map[string]platform.Row
@@ -25,24 +26,25 @@
 	down    bool
 }
 
-// TableFaults are the faults that one VM meets at the table.
+// TableFaults are the faults of one VM's calls to the table.
 type TableFaults struct {
 	// Down makes every call fail without effect.
 	Down bool
-	// LoseReplies is the share of commits that take effect and whose reply is lost.
+	// LoseReplies is the share of commits, from 0 to 1, that take effect but whose reply is lost.
 	LoseReplies float64
 	// Latency is added to every call.
 	Latency time.Duration
-	// DelayWrites is the share of commits that take effect long after the caller has given up.
+	// DelayWrites is the share of commits, from 0 to 1, that take effect after a random delay,
+	// possibly long after the VM that sent them has given up.
 	DelayWrites float64
 }
 
 const (
-	tableLatency    = time.Millisecond
-	tableDelayLimit = 6 * time.Second
+	tableLatency  = time.Millisecond
+	maxWriteDelay = 6 * time.Second
 )
 
-// NewTable returns an empty table whose faults are drawn from seed.
+// NewTable returns an empty table whose random faults depend on the seed.
 func NewTable(seed int64) *Table {
 	return &Table{
 		rows:   map[string]platform.Row{},
@@ -51,28 +53,30 @@
 	}
 }
 
-// SetDown makes the table fail for every VM.
+// SetDown sets whether the table is unavailable to every VM.
 func (t *Table) SetDown(down bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.down = down
 }
 
-// SetFaults sets the faults that one VM meets.
+// SetFaults replaces the faults of one VM's calls.
 func (t *Table) SetFaults(vm string, faults TableFaults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults[vm] = faults
 }
 
-// Counts returns the reads and writes that the table has served.
+// Counts returns how many reads the table has served and how many commits have reached it, those
+// with failed conditions included.
 func (t *Table) Counts() (reads, writes int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.reads, t.writes
 }
 
-// Client returns the table as one VM reaches it. The gate may be nil.
+// Client returns a client of the table for one VM, subject to that VM's faults and, if the gate is
+// not nil, to its pauses.
 func (t *Table) Client(vm string, gate *Gate) platform.Table {
 	return &tableClient{table: t, vm: vm, gate: gate}
 }
@@ -83,20 +87,21 @@
 	gate  *Gate
 }
 
-// fate is what becomes of one call.
-type fate struct {
-	down, lose     bool
-	delay, latency time.Duration
+// callOutcome holds the faults that apply to one call.
+type callOutcome struct {
+	down, loseReply bool
+	delay, latency  time.Duration
 }
 
-func (t *Table) draw(vm string) fate {
+// drawOutcome randomly selects the faults of one call by the VM.
+func (t *Table) drawOutcome(vm string) callOutcome {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	faults := t.faults[vm]
-	f := fate{down: t.down || faults.Down, latency: faults.Latency}
-	f.lose = t.rnd.Float64() < faults.LoseReplies
+	f := callOutcome{down: t.down || faults.Down, latency: faults.Latency}
+	f.loseReply = t.rnd.Float64() < faults.LoseReplies
 	if t.rnd.Float64() < faults.DelayWrites {
-		f.delay = time.Duration(t.rnd.Int63n(int64(tableDelayLimit)))
+		f.delay = time.Duration(t.rnd.Int63n(int64(maxWriteDelay)))
 	}
 	return f
 }
@@ -122,7 +127,7 @@
 	c.gate.Pass()
 	defer c.gate.Pass()
 	time.Sleep(tableLatency)
-	f := c.table.draw(c.vm)
+	f := c.table.drawOutcome(c.vm)
 	if f.down {
 		return nil, platform.ErrUnavailable
 	}
@@ -140,12 +145,13 @@
 	return rows, ctx.Err()
 }
 
-// Commit applies txn, unless a fault keeps it from being applied or its reply from arriving.
+// Commit applies txn, unless a fault prevents or delays that. If the reply is lost or the commit
+// delayed, Commit blocks until ctx ends and returns platform.ErrUnknown.
 func (c *tableClient) Commit(ctx context.Context, txn platform.Txn) (uint64, error) {
 	c.gate.Pass()
 	defer c.gate.Pass()
 	time.Sleep(tableLatency)
-	f := c.table.draw(c.vm)
+	f := c.table.drawOutcome(c.vm)
 	time.Sleep(f.latency)
 	switch {
 	case f.down:
@@ -154,7 +160,7 @@
 		time.AfterFunc(f.delay, func() { _, _ = c.table.apply(txn) })
 		<-ctx.Done()
 		return 0, platform.ErrUnknown
-	case f.lose:
+	case f.loseReply:
 		_, _ = c.table.apply(txn)
 		<-ctx.Done()
 		return 0, platform.ErrUnknown
--- a/pkg/membership/registry_test.go
+++ b/pkg/membership/registry_test.go
@@ -26,7 +26,7 @@
 func (p *pair) start(id, incarnation string) *membership.Registry {
 	address := id + ":1"
 	r := membership.New(membership.Config{ID: id, Incarnation: incarnation, PeerAddress: address},
-		p.lister, p.net.Caller(address, nil), fleettest.Quiet())
+		p.lister, p.net.Client(address, nil), fleettest.Quiet())
 	p.net.Listen(address, nil, map[string]any{membership.ServiceName: r.Service()})
 	ctx, cancel := context.WithCancel(p.ctx)
 	p.cancels[id] = cancel
--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -31,8 +31,8 @@
 
 // attachQuota adds a home and a limiter for the quota to a VM.
 func (f *fleet) attachQuota(v *fleettest.VM) fleettest.Attachment {
-	home := quota.NewHome(v.Ctx, v.ID, v.Manager, v.Registry, v.Caller, f.limits, f.Log)
-	limiter := quota.NewLimiter(v.Ctx, v.ID, v.Incarnation, home, v.Manager, v.Caller, f.limits)
+	home := quota.NewHome(v.Ctx, v.ID, v.Manager, v.Registry, v.PeerClient, f.limits, f.Log)
+	limiter := quota.NewLimiter(v.Ctx, v.ID, v.Incarnation, home, v.Manager, v.PeerClient, f.limits)
 	f.mu.Lock()
 	f.limiters[v] = limiter
 	f.mu.Unlock()
