--- a/pkg/allowance/handover_test.go
+++ b/pkg/allowance/handover_test.go
@@ -27,7 +27,7 @@
 	require.EqualValues(t, 1000, w.sum(later), "tokens that have left the window cannot be returned")
 }
 
-// noLeasesHeld is a lessor that says that no VM holds any lease.
+// noLeasesHeld is a lease view that reports that no VM holds any lease.
 type noLeasesHeld struct{}
 
 func (noLeasesHeld) Held(string) (lease.Grant, bool)      { return lease.Grant{}, false }
@@ -42,7 +42,7 @@
 	b := &otherVM{}
 	h := NewLimiter(t.Context(), LimiterConfig{
 		Self: "a", Policy: testPolicy, Limits: func(string) (Limit, bool) { return testLimit, true },
-		Home: home, Lessor: noLeasesHeld{}, Fleet: b, Caller: b, Log: log,
+		Home: home, Leases: noLeasesHeld{}, Fleet: b, PeerClient: b, Log: log,
 	})
 	bal := h.balance("x")
 	bal.tokens, bal.refillSentAt = 1000, now
@@ -124,7 +124,7 @@
 	home := NewHome(t.Context(), HomeConfig{Policy: testPolicy, Log: log})
 	h := NewLimiter(t.Context(), LimiterConfig{
 		Self: "a", Policy: testPolicy, Limits: func(string) (Limit, bool) { return testLimit, true },
-		Home: home, Lessor: b, Fleet: b, Caller: b, Log: log,
+		Home: home, Leases: b, Fleet: b, PeerClient: b, Log: log,
 	})
 	admitErr := make(chan error, 1)
 	go func() {
@@ -452,10 +452,10 @@
 		b := &otherVM{reachable: true, spent: lent}
 		home := NewHome(ctx, HomeConfig{
 			Policy: testPolicy, Limits: func(string) (Limit, bool) { return testLimit, true },
-			Lessor: allLeasesHeld{}, Fleet: b, Caller: b, Log: log,
+			Leases: allLeasesHeld{}, Fleet: b, PeerClient: b, Log: log,
 		})
 		NewLimiter(ctx, LimiterConfig{
-			Self: "a", Incarnation: "1", Policy: testPolicy, Home: home, Lessor: allLeasesHeld{}, Fleet: b, Log: log,
+			Self: "a", Incarnation: "1", Policy: testPolicy, Home: home, Leases: allLeasesHeld{}, Fleet: b, Log: log,
 			Started: time.Now(), FirstStart: true,
 		})
 		time.Sleep(testPolicy.Window - time.Second)
--- a/pkg/allowance/home.go
+++ b/pkg/allowance/home.go
@@ -39,12 +39,12 @@
 
 // HomeConfig holds the settings and dependencies of a Home.
 type HomeConfig struct {
-	Policy Policy
-	Limits Limits
-	Lessor lease.View
-	Fleet  Fleet
-	Caller peer.Client
-	Log    logrus.FieldLogger
+	Policy     Policy
+	Limits     Limits
+	Leases     lease.View
+	Fleet      Fleet
+	PeerClient peer.Client
+	Log        logrus.FieldLogger
 }
 
 // TellArgs holds the arguments of Service.Tell.
@@ -164,7 +164,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, callTimeout)
 	defer cancel()
 	var report Request
-	err := h.cfg.Caller.Call(ctx, m.PeerAddress, tellMethod, &TellArgs{Account: name}, &report)
+	err := h.cfg.PeerClient.Call(ctx, m.PeerAddress, tellMethod, &TellArgs{Account: name}, &report)
 	return report, err == nil && !report.malformed()
 }
 
@@ -224,7 +224,7 @@
 	a.absentShare = h.absentShare(req.Account, a, now)
 	reply := a.settle(req, now)
 	// The lease is checked last, because the next home starts as soon as this lease has ended.
-	if _, held := h.cfg.Lessor.Held(lease.AccountPrefix + req.Account); !held {
+	if _, held := h.cfg.Leases.Held(lease.AccountPrefix + req.Account); !held {
 		return Reply{NotHome: true}
 	}
 	h.logScarce(req, reply, a, now)
--- a/pkg/allowance/home_test.go
+++ b/pkg/allowance/home_test.go
@@ -15,7 +15,7 @@
 	"github.com/mallowlink/mallowlink/pkg/peer"
 )
 
-// allLeasesHeld is a lessor that says that this VM, a, holds every lease.
+// allLeasesHeld is a lease view that reports that this VM, a, holds every lease.
 type allLeasesHeld struct{}
 
 func (allLeasesHeld) Held(name string) (lease.Grant, bool) {
@@ -60,9 +60,9 @@
 	log, _ := test.NewNullLogger()
 	home := NewHome(ctx, HomeConfig{
 		Policy: testPolicy, Limits: func(string) (Limit, bool) { return testLimit, true },
-		Lessor: allLeasesHeld{}, Fleet: b, Caller: b, Log: log,
+		Leases: allLeasesHeld{}, Fleet: b, PeerClient: b, Log: log,
 	})
-	NewLimiter(ctx, LimiterConfig{Self: "a", Incarnation: "1", Policy: testPolicy, Home: home, Lessor: allLeasesHeld{}, Fleet: b, Log: log})
+	NewLimiter(ctx, LimiterConfig{Self: "a", Incarnation: "1", Policy: testPolicy, Home: home, Leases: allLeasesHeld{}, Fleet: b, Log: log})
 	return home
 }
 
--- a/pkg/allowance/limiter.go
+++ b/pkg/allowance/limiter.go
@@ -45,9 +45,9 @@
 	Policy     Policy
 	Limits     Limits
 	Home       *Home // of this VM
-	Lessor     lease.View
+	Leases     lease.View
 	Fleet      Fleet
-	Caller     peer.Client
+	PeerClient peer.Client
 	Log        logrus.FieldLogger
 }
 
@@ -412,7 +412,7 @@
 
 // callHome sends the request to the home of the account, which may be this VM.
 func (l *Limiter) callHome(req Request) (Reply, error) {
-	holder, ok := l.cfg.Lessor.HolderOf(lease.AccountPrefix + req.Account)
+	holder, ok := l.cfg.Leases.HolderOf(lease.AccountPrefix + req.Account)
 	if !ok {
 		return Reply{}, errNoHome
 	}
@@ -422,7 +422,7 @@
 	ctx, cancel := context.WithTimeout(l.ctx, callTimeout)
 	defer cancel()
 	var reply Reply
-	if err := l.cfg.Caller.Call(ctx, holder.Address, settleMethod, &req, &reply); err != nil {
+	if err := l.cfg.PeerClient.Call(ctx, holder.Address, settleMethod, &req, &reply); err != nil {
 		return Reply{}, err
 	}
 	return checkHome(reply)
--- a/pkg/budget/holder.go
+++ b/pkg/budget/holder.go
@@ -13,14 +13,14 @@
 // Holder holds the permits of one VM. It implements scheduler.LoadPermits: when TryTake finds no permit, the
 // Holder requests one from the home, and calls back when it has arrived. It is safe for concurrent use.
 type Holder struct {
-	ctx       context.Context
-	cfg       Config
-	home      *Home
-	lessor    lease.View
-	caller    peer.Client
-	onPermits func()
-	wake      chan struct{}
-	startedAt time.Time
+	ctx        context.Context
+	cfg        Config
+	home       *Home
+	leases     lease.View
+	peerClient peer.Client
+	onPermits  func()
+	wake       chan struct{}
+	startedAt  time.Time
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
@@ -42,10 +42,10 @@
 
 // NewHolder returns a Holder without permits and registers it with this VM's home. onPermits is called,
 // without locks held, when permits have arrived after TryTake had found none.
-func NewHolder(ctx context.Context, cfg Config, home *Home, lessor lease.View, caller peer.Client, onPermits func()) *Holder {
+func NewHolder(ctx context.Context, cfg Config, home *Home, leases lease.View, peerClient peer.Client, onPermits func()) *Holder {
 	cfg.setDefaults()
 	h := &Holder{
-		ctx: ctx, cfg: cfg, home: home, lessor: lessor, caller: caller, onPermits: onPermits,
+		ctx: ctx, cfg: cfg, home: home, leases: leases, peerClient: peerClient, onPermits: onPermits,
 		wake: make(chan struct{}, 1), startedAt: time.Now(),
 	}
 	home.local = h
@@ -191,7 +191,7 @@
 
 // call sends the request to the budget's home, which may be this VM.
 func (h *Holder) call(req TakeRequest) (TakeReply, error) {
-	holder, ok := h.lessor.HolderOf(lease.Budget)
+	holder, ok := h.leases.HolderOf(lease.Budget)
 	if !ok {
 		return TakeReply{NotHome: true}, nil
 	}
@@ -201,7 +201,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, callTimeout)
 	defer cancel()
 	var reply TakeReply
-	err := h.caller.Call(ctx, holder.Address, takeMethod, &req, &reply)
+	err := h.peerClient.Call(ctx, holder.Address, takeMethod, &req, &reply)
 	return reply, err
 }
 
--- a/pkg/budget/home.go
+++ b/pkg/budget/home.go
@@ -41,12 +41,12 @@
 // Home grants permits to all VMs while this VM holds the lease on the budget. It is safe for concurrent
 // use.
 type Home struct {
-	ctx    context.Context
-	cfg    Config
-	lessor lease.View
-	fleet  Fleet
-	caller peer.Client
-	limits Limits
+	ctx        context.Context
+	cfg        Config
+	leases     lease.View
+	fleet      Fleet
+	peerClient peer.Client
+	limits     Limits
 	// local is the Holder of this VM, set by NewHolder.
 	local *Holder
 
@@ -59,9 +59,9 @@
 }
 
 // NewHome returns a Home that holds no lease. Its calls to other VMs end with ctx.
-func NewHome(ctx context.Context, cfg Config, lessor lease.View, fleet Fleet, caller peer.Client, limits Limits) *Home {
+func NewHome(ctx context.Context, cfg Config, leases lease.View, fleet Fleet, peerClient peer.Client, limits Limits) *Home {
 	cfg.setDefaults()
-	return &Home{ctx: ctx, cfg: cfg, lessor: lessor, fleet: fleet, caller: caller, limits: limits}
+	return &Home{ctx: ctx, cfg: cfg, leases: leases, fleet: fleet, peerClient: peerClient, limits: limits}
 }
 
 // LeaseGained starts to grant permits if the lease is the one on the budget. Other leases are ignored.
@@ -130,7 +130,7 @@
 	for time.Since(start) < h.cfg.permitBound() {
 		ctx, cancel := context.WithTimeout(h.ctx, callTimeout)
 		var reply UsageReply
-		err := h.caller.Call(ctx, m.PeerAddress, usageMethod, &request, &reply)
+		err := h.peerClient.Call(ctx, m.PeerAddress, usageMethod, &request, &reply)
 		cancel()
 		if err == nil {
 			h.applyUsage(request, m.ID, reply)
@@ -183,7 +183,7 @@
 	reply, ok := h.grantPermits(req, now)
 	// The lease is checked last, after the permits have been granted: a later home starts only after
 	// this lease has ended.
-	held, still := h.lessor.Held(lease.Budget)
+	held, still := h.leases.Held(lease.Budget)
 	if !ok || !still || held.Fencing != h.fencing {
 		return refused
 	}
--- a/pkg/bundle/rollout/fakes_test.go
+++ b/pkg/bundle/rollout/fakes_test.go
@@ -211,7 +211,7 @@
 	return f
 }
 
-// Call implements peer.Caller.
+// Call implements peer.Client.
 func (n *fakeFleet) Call(_ context.Context, address, method string, args, reply any) error {
 	n.mu.Lock()
 	f := n.followers[address]
--- a/pkg/daemon/requests.go
+++ b/pkg/daemon/requests.go
@@ -94,7 +94,7 @@
 	o := owner.New(owner.Config{
 		VM:           id.VM,
 		Incarnation:  id.Incarnation,
-		Lessor:       leases,
+		Leases:       leases,
 		Members:      members,
 		Source:       follower,
 		Table:        table,
--- a/pkg/dispatch/dispatch.go
+++ b/pkg/dispatch/dispatch.go
@@ -34,7 +34,7 @@
 	Roster        *roster.Roster
 	Orders        *orders.Service
 	Leases        lease.View
-	Peers         peer.Client
+	PeerClient    peer.Client
 	// Engines fetches status reports directly from engines whose owners cannot be reached.
 	Engines ReportReader
 	// RosterAge returns how old the list of endpoints may be.
@@ -63,7 +63,7 @@
 		locations: newAdapterLocations(),
 		hotKeys:   newHotKeys(),
 		reports:   newReportCache(cfg.Engines, cfg.Log),
-		owners:    newOwnerClient(cfg.Self, cfg.Incarnation, cfg.Orders, cfg.Leases, cfg.Peers, cfg.Log),
+		owners:    newOwnerClient(cfg.Self, cfg.Incarnation, cfg.Orders, cfg.Leases, cfg.PeerClient, cfg.Log),
 	}
 }
 
--- a/pkg/dispatch/hotkeys_test.go
+++ b/pkg/dispatch/hotkeys_test.go
@@ -80,7 +80,7 @@
 		}
 		view.Set(roster.NewView(list))
 		d := New(Config{
-			Self: "vm", Roster: view, Leases: q, Peers: q, Log: discardLogger(),
+			Self: "vm", Roster: view, Leases: q, PeerClient: q, Log: discardLogger(),
 			RosterAge: func() time.Duration { return 0 }, Newest: func(residency.Key) int { return 0 },
 		})
 		refused, lateRefusals := 0, 0
--- a/pkg/dispatch/owners.go
+++ b/pkg/dispatch/owners.go
@@ -34,8 +34,8 @@
 	self        string
 	incarnation string
 	local       *orders.Service
-	lessor      lease.View
-	peers       peer.Client
+	leases      lease.View
+	peerClient  peer.Client
 	log         logrus.FieldLogger
 	// lastPermit is the number of the permit requested last.
 	lastPermit atomic.Uint64
@@ -47,9 +47,9 @@
 	backoffUntil map[string]time.Time             // by address
 }
 
-func newOwnerClient(self, incarnation string, local *orders.Service, lessor lease.View, peers peer.Client, log logrus.FieldLogger) *ownerClient {
+func newOwnerClient(self, incarnation string, local *orders.Service, leases lease.View, peers peer.Client, log logrus.FieldLogger) *ownerClient {
 	return &ownerClient{
-		self: self, incarnation: incarnation, local: local, lessor: lessor, peers: peers, log: log,
+		self: self, incarnation: incarnation, local: local, leases: leases, peerClient: peers, log: log,
 		updates: map[string][]orders.PermitUpdate{}, backoffUntil: map[string]time.Time{},
 	}
 }
@@ -57,7 +57,7 @@
 // ownerAddress returns the peer address of an engine's owner; empty for this VM. It reports false if no owner
 // is known.
 func (o *ownerClient) ownerAddress(endpoint string) (string, bool) {
-	holder, ok := o.lessor.HolderOf(orders.LeaseOf(endpoint))
+	holder, ok := o.leases.HolderOf(orders.LeaseOf(endpoint))
 	if !ok {
 		return "", false
 	}
@@ -84,7 +84,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, orders.MaxWait+callTimeout)
 	defer cancel()
-	if err := o.peers.Call(ctx, address, orders.AcquireMethod, args, &reply); err != nil {
+	if err := o.peerClient.Call(ctx, address, orders.AcquireMethod, args, &reply); err != nil {
 		// The owner may have granted the permit or may still grant it, so it has to be ended.
 		o.queueUpdate(address, orders.PermitUpdate{Permit: args.Permit, Ended: true})
 		o.callFailed(address, err)
@@ -153,7 +153,7 @@
 			ctx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
 			// An owner that misses an update frees the permit when it expires.
-			_ = o.peers.Call(ctx, address, orders.ReportMethod, args, &reply)
+			_ = o.peerClient.Call(ctx, address, orders.ReportMethod, args, &reply)
 		}()
 	}
 }
--- a/pkg/entry/limits.go
+++ b/pkg/entry/limits.go
@@ -86,7 +86,7 @@
 }
 
 // NewHTTPServer returns the HTTP server for callers' connections. It is to be served on a listener made by
-// callers.Limit, which bounds their number.
+// connlimit.LimitListener, which bounds their number.
 func NewHTTPServer(h *Handler, tlsConfig *tls.Config) *http.Server {
 	return &http.Server{
 		Handler:           h,
--- a/pkg/gatewayd/stewards.go
+++ b/pkg/gatewayd/stewards.go
@@ -34,7 +34,7 @@
 )
 
 // stewardSet tracks the stewards and the other VMs, and makes this VM a steward if there are too few. It
-// implements lease.Lessor on every VM, steward or not. It is safe for concurrent use.
+// implements lease.View on every VM, steward or not. It is safe for concurrent use.
 type stewardSet struct {
 	self      relay.VM
 	table     rowLister
@@ -110,7 +110,7 @@
 	return "", false
 }
 
-// Held implements lease.Lessor.
+// Held implements lease.View.
 func (s *stewardSet) Held(name string) (lease.Grant, bool) {
 	if !s.isSteward() {
 		return lease.Grant{}, false
@@ -118,7 +118,7 @@
 	return s.leases.Held(name)
 }
 
-// HolderOf implements lease.Lessor.
+// HolderOf implements lease.View.
 func (s *stewardSet) HolderOf(name string) (lease.Holder, bool) {
 	if s.isSteward() {
 		return s.leases.HolderOf(name)
--- a/pkg/gatewayd/wiring.go
+++ b/pkg/gatewayd/wiring.go
@@ -251,12 +251,12 @@
 func newAllowances(s Settings, bg background, id identity, coord coordination, view *fleetView, pp peers, log logrus.FieldLogger) allowances {
 	policy := allowance.Policy{Window: s.Bounds.Quota.Window, Overage: s.Bounds.Quota.Overage, Slack: s.Bounds.Quota.Slack}
 	home := allowance.NewHome(bg, allowance.HomeConfig{
-		Policy: policy, Limits: view.accountLimit, Lessor: coord.stewards, Fleet: coord.stewards,
-		Caller: pp.pool, Log: log,
+		Policy: policy, Limits: view.accountLimit, Leases: coord.stewards, Fleet: coord.stewards,
+		PeerClient: pp.pool, Log: log,
 	})
 	limiter := allowance.NewLimiter(bg, allowance.LimiterConfig{
 		Self: id.vm, Incarnation: id.incarnation, Started: id.started, FirstStart: s.FirstStart, Policy: policy, Limits: view.accountLimit,
-		Home: home, Lessor: coord.stewards, Fleet: coord.stewards, Caller: pp.pool, Log: log,
+		Home: home, Leases: coord.stewards, Fleet: coord.stewards, PeerClient: pp.pool, Log: log,
 	})
 	return allowances{home: home, limiter: limiter}
 }
@@ -270,7 +270,7 @@
 		Spec:        view.engineSpec,
 		Newest:      view.newestVersion,
 		Address:     coord.stewards.peerAddress,
-		Caller:      pp.pool,
+		PeerClient:  pp.pool,
 		MinOrderGap: s.Bounds.MinOrderGap,
 		Started:     id.started,
 		Metrics:     registry,
@@ -286,7 +286,7 @@
 		Roster:        view.roster,
 		Orders:        o,
 		Leases:        coord.stewards,
-		Peers:         pp.pool,
+		PeerClient:    pp.pool,
 		Engines:       p.NewEngines(out.client),
 		RosterAge:     view.endpointsAge,
 		Newest:        view.newestVersion,
@@ -371,7 +371,7 @@
 		Self:         coord.stewards.self,
 		UpdateLog:    updates,
 		Reader:       newStoreReader(p, view, updates, coord.stewards, log),
-		Caller:       pp.pool,
+		PeerClient:   pp.pool,
 		Stewards:     coord.stewards.list,
 		FleetSize:    coord.stewards.vmCount,
 		ReadStewards: coord.stewards.readDirectory,
--- a/pkg/lease/handover.go
+++ b/pkg/lease/handover.go
@@ -48,7 +48,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, m.cfg.StoreTimeout)
 			defer cancel()
-			err := m.caller.Call(ctx, target.PeerAddress, wakeMethod, &WakeRequest{VM: m.cfg.ID}, &WakeReply{})
+			err := m.peerClient.Call(ctx, target.PeerAddress, wakeMethod, &WakeRequest{VM: m.cfg.ID}, &WakeReply{})
 			if err != nil {
 				m.log.WithError(err).WithFields(logrus.Fields{"event": "lease_wake_failed", "vm": target.ID}).Warn("could not notify the VM of a lease handed over to it")
 			}
--- a/pkg/lease/manager.go
+++ b/pkg/lease/manager.go
@@ -111,13 +111,13 @@
 // for lapsed leases and, while the table does not respond, for leases to extend or take over. Manager is safe
 // for concurrent use.
 type Manager struct {
-	cfg    Config
-	table  platform.Table
-	fleet  Fleet
-	caller peer.Client
-	log    logrus.FieldLogger
-	events *notifier
-	wake   chan struct{}
+	cfg        Config
+	table      platform.Table
+	fleet      Fleet
+	peerClient peer.Client
+	log        logrus.FieldLogger
+	events     *notifier
+	wake       chan struct{}
 
 	mu sync.RWMutex
 	// The fields below are guarded by mu.
@@ -178,13 +178,13 @@
 }
 
 // NewManager returns a manager. The listener is called, one call at a time, only while Run runs.
-func NewManager(cfg Config, table platform.Table, fleet Fleet, caller peer.Client, listener Listener, log logrus.FieldLogger) *Manager {
+func NewManager(cfg Config, table platform.Table, fleet Fleet, peerClient peer.Client, listener Listener, log logrus.FieldLogger) *Manager {
 	cfg.setDefaults()
 	return &Manager{
 		cfg:             cfg,
 		table:           table,
 		fleet:           fleet,
-		caller:          caller,
+		peerClient:      peerClient,
 		log:             log,
 		events:          newNotifier(listener),
 		wake:            make(chan struct{}, 1),
--- a/pkg/membership/heartbeat.go
+++ b/pkg/membership/heartbeat.go
@@ -27,7 +27,7 @@
 	defer cancel()
 	sent := clock.Now()
 	var reply Beat
-	err := r.caller.Call(ctx, target.PeerAddress, beatMethod, r.ownBeat(), &reply)
+	err := r.peerClient.Call(ctx, target.PeerAddress, beatMethod, r.ownBeat(), &reply)
 	switch {
 	case err == nil && reply.ID == target.ID:
 		r.recordReply(Reply{Beat: reply, Sent: sent})
--- a/pkg/membership/registry.go
+++ b/pkg/membership/registry.go
@@ -61,10 +61,10 @@
 // Registry is this VM's view of the fleet, kept up to date by the platform's list, heartbeats and the
 // session rows in the lease table.
 type Registry struct {
-	cfg    Config
-	lister platform.VMLister
-	caller peer.Client
-	log    logrus.FieldLogger
+	cfg        Config
+	lister     platform.VMLister
+	peerClient peer.Client
+	log        logrus.FieldLogger
 	// status and onChange are set before Run.
 	status   func() Status
 	onChange func()
@@ -78,16 +78,16 @@
 }
 
 // New returns a registry that knows only this VM. Without a lister, the registry finds other VMs only
-// through Learn and their heartbeats.
-func New(cfg Config, lister platform.VMLister, caller peer.Client, log logrus.FieldLogger) *Registry {
+// through RecordSession and their heartbeats.
+func New(cfg Config, lister platform.VMLister, peerClient peer.Client, log logrus.FieldLogger) *Registry {
 	cfg.setDefaults()
 	return &Registry{
-		cfg:      cfg,
-		lister:   lister,
-		caller:   caller,
-		log:      log,
-		status:   func() Status { return Status{} },
-		onChange: func() {},
+		cfg:        cfg,
+		lister:     lister,
+		peerClient: peerClient,
+		log:        log,
+		status:     func() Status { return Status{} },
+		onChange:   func() {},
 
 		beatNow: make(chan struct{}, 1),
 		records: map[string]*record{},
--- a/pkg/orders/orders_test.go
+++ b/pkg/orders/orders_test.go
@@ -84,27 +84,27 @@
 	return append([]receivedOrder(nil), f.received...)
 }
 
-// fakeLessor is a lease.Lessor with one lease, which the test grants and withdraws.
-type fakeLessor struct {
+// fakeLeaseView is a lease.View with one lease, which the test grants and withdraws.
+type fakeLeaseView struct {
 	mu   sync.Mutex
 	held bool
 }
 
-func (r *fakeLessor) set(held bool) {
+func (r *fakeLeaseView) set(held bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.held = held
 }
 
-func (r *fakeLessor) Held(name string) (lease.Grant, bool) {
+func (r *fakeLeaseView) Held(name string) (lease.Grant, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return lease.Grant{Name: name, Fencing: 7}, r.held
 }
 
-func (r *fakeLessor) HolderOf(string) (lease.Holder, bool) { return lease.Holder{}, false }
+func (r *fakeLeaseView) HolderOf(string) (lease.Holder, bool) { return lease.Holder{}, false }
 
-// unreachablePeers is a peer.Caller whose calls all fail because no VM can be reached.
+// unreachablePeers is a peer.Client whose calls all fail because no VM can be reached.
 type unreachablePeers struct{}
 
 func (unreachablePeers) Call(context.Context, string, string, any, any) error {
@@ -115,7 +115,7 @@
 type fixture struct {
 	s       *Service
 	engines *fakeEngines
-	lessor  *fakeLessor
+	leases  *fakeLeaseView
 	id      roster.Incarnation
 	permit  uint64
 }
@@ -130,15 +130,15 @@
 		r.Set(roster.NewView([]roster.Endpoint{{Incarnation: id, Group: "g", Address: "x:1"}}))
 		log := logrus.New()
 		log.SetLevel(logrus.PanicLevel)
-		f := &fixture{engines: &fakeEngines{loaded: map[string]time.Time{}}, lessor: &fakeLessor{held: true}, id: id}
+		f := &fixture{engines: &fakeEngines{loaded: map[string]time.Time{}}, leases: &fakeLeaseView{held: true}, id: id}
 		f.s = NewService(ctx, Config{
-			Self: "vm1", Leases: f.lessor, Engines: f.engines, Roster: r,
+			Self: "vm1", Leases: f.leases, Engines: f.engines, Roster: r,
 			Spec: func(string) (EngineSpec, bool) {
 				return EngineSpec{AdapterSlots: adapterSlots, RequestSlots: 8, CacheTokens: 10_000, Model: "base", ModelLoad: time.Second}, true
 			},
-			Newest:  func(residency.Key) int { return 0 },
-			Address: func(string) (string, bool) { return "", false },
-			Caller:  unreachablePeers{}, MinOrderGap: 3 * time.Second, Started: time.Now(),
+			Newest:     func(residency.Key) int { return 0 },
+			Address:    func(string) (string, bool) { return "", false },
+			PeerClient: unreachablePeers{}, MinOrderGap: 3 * time.Second, Started: time.Now(),
 			Metrics: metrics.NewRegistry(), Log: log,
 		})
 		test(f)
@@ -261,13 +261,13 @@
 		f.gainLease()
 		time.Sleep(time.Second)
 		require.Equal(t, Granted, f.acquire(f.newArgs("a")).Status)
-		f.lessor.set(false)
+		f.leases.set(false)
 		require.Equal(t, NotOwner, f.acquire(f.newArgs("b")).Status)
 		sent := len(f.engines.receivedOrders())
 		time.Sleep(5 * time.Second)
 		require.Len(t, f.engines.receivedOrders(), sent)
 		f.s.LeaseLost(LeaseOf(f.id.ID))
-		f.lessor.set(true)
+		f.leases.set(true)
 		require.Equal(t, NotOwner, f.acquire(f.newArgs("b")).Status)
 	})
 }
--- a/pkg/orders/service.go
+++ b/pkg/orders/service.go
@@ -68,8 +68,8 @@
 	// Newest returns the newest version of an adapter that the operator has declared, or 0 if there is none.
 	Newest func(residency.Key) int
 	// Address returns the address at which a VM takes calls from other VMs, or false if it is not known.
-	Address func(vm string) (string, bool)
-	Caller  peer.Client
+	Address    func(vm string) (string, bool)
+	PeerClient peer.Client
 	// MinOrderGap is the minimum time between two orders of this VM to an engine if another VM owned the engine in
 	// between. Started is when this process started; it does not know of orders sent before that.
 	MinOrderGap time.Duration
--- a/pkg/orders/worker.go
+++ b/pkg/orders/worker.go
@@ -199,7 +199,7 @@
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	var reply HandoverReply
-	err := w.service.cfg.Caller.Call(ctx, address, handoverMethod, &HandoverArgs{Endpoint: w.endpoint.ID, Started: w.endpoint.Started}, &reply)
+	err := w.service.cfg.PeerClient.Call(ctx, address, handoverMethod, &HandoverArgs{Endpoint: w.endpoint.ID, Started: w.endpoint.Started}, &reply)
 	w.service.cfg.Log.WithFields(logrus.Fields{
 		"event": "engine_told", "endpoint": w.endpoint.ID, "by": w.previousOwner, "known": reply.Known,
 		"adapters": len(reply.Habits.Uses), "error": err,
--- a/pkg/owner/directory.go
+++ b/pkg/owner/directory.go
@@ -12,19 +12,19 @@
 	vm          string
 	incarnation string
 	local       work.Owner
-	lessor      lease.View
-	caller      peer.Client
+	leases      lease.View
+	peerClient  peer.Client
 }
 
 // NewDirectory returns a directory for the process with the given VM name and incarnation. For groups
 // that this process owns itself, OwnerOf returns local, which needs no network call.
-func NewDirectory(vm, incarnation string, local work.Owner, lessor lease.View, caller peer.Client) *Directory {
-	return &Directory{vm: vm, incarnation: incarnation, local: local, lessor: lessor, caller: caller}
+func NewDirectory(vm, incarnation string, local work.Owner, leases lease.View, peerClient peer.Client) *Directory {
+	return &Directory{vm: vm, incarnation: incarnation, local: local, leases: leases, peerClient: peerClient}
 }
 
 // OwnerOf implements work.Directory.
 func (d *Directory) OwnerOf(group string) (string, work.Owner, error) {
-	holder, ok := d.lessor.HolderOf(lease.GroupPrefix + group)
+	holder, ok := d.leases.HolderOf(lease.GroupPrefix + group)
 	if !ok {
 		err := result.New(result.NoOwner, "no VM owns group "+group)
 		err.RetryAfter = noOwnerRetryAfter
@@ -35,5 +35,5 @@
 		return name, d.local, nil
 	}
 	target := Target{Incarnation: holder.Incarnation}
-	return name, &remote{caller: d.caller, address: holder.Address, target: target}, nil
+	return name, &remote{peerClient: d.peerClient, address: holder.Address, target: target}, nil
 }
--- a/pkg/owner/fake_test.go
+++ b/pkg/owner/fake_test.go
@@ -204,22 +204,22 @@
 	return []byte{byte('0' + a.next)}, nil
 }
 
-// fakeLessor is a lessor with a single lease, held until lapse is called.
-type fakeLessor struct {
+// fakeLeaseView is a lease view with a single lease, held until lapse is called.
+type fakeLeaseView struct {
 	mu    sync.Mutex
 	grant lease.Grant
 	held  bool
 }
 
-func (f *fakeLessor) Held(name string) (lease.Grant, bool) {
+func (f *fakeLeaseView) Held(name string) (lease.Grant, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.grant, f.held && f.grant.Name == name
 }
 
-func (f *fakeLessor) HolderOf(string) (lease.Holder, bool) { return lease.Holder{}, false }
+func (f *fakeLeaseView) HolderOf(string) (lease.Holder, bool) { return lease.Holder{}, false }
 
-func (f *fakeLessor) lapse() {
+func (f *fakeLeaseView) lapse() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.held = false
@@ -301,7 +301,7 @@
 // fixture is an Owner of one group with fake dependencies.
 type fixture struct {
 	owner   *Owner
-	lessor  *fakeLessor
+	leases  *fakeLeaseView
 	table   *fakeTable
 	members *fakeMembers
 	engines map[string]*fakeEngine
@@ -322,7 +322,7 @@
 	}
 	logger, _ := test.NewNullLogger()
 	f := &fixture{
-		lessor:  &fakeLessor{grant: lease.Grant{Name: "group/" + testGroup, Fencing: 7, PreviousProvenGone: true}, held: true},
+		leases:  &fakeLeaseView{grant: lease.Grant{Name: "group/" + testGroup, Fencing: 7, PreviousProvenGone: true}, held: true},
 		table:   &fakeTable{rows: map[string][]byte{}},
 		members: &fakeMembers{gone: map[string]bool{}},
 		engines: engines,
@@ -330,7 +330,7 @@
 	f.owner = New(Config{
 		VM:          "vm-1",
 		Incarnation: "inc-1",
-		Lessor:      f.lessor,
+		Leases:      f.leases,
 		Members:     f.members,
 		Source:      fixedSource{b},
 		Table:       f.table,
@@ -347,7 +347,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	f.stop = cancel
 	go f.owner.Run(ctx)
-	f.owner.LeaseGained(f.lessor.grant)
+	f.owner.LeaseGained(f.leases.grant)
 	return f
 }
 
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -65,7 +65,7 @@
 type Config struct {
 	VM           string
 	Incarnation  string
-	Lessor       lease.View
+	Leases       lease.View
 	Members      Members
 	Source       Source
 	Table        platform.Table
--- a/pkg/owner/owner_test.go
+++ b/pkg/owner/owner_test.go
@@ -169,7 +169,7 @@
 		time.Sleep(time.Second)
 		require.NoError(t, b.owner.Submit(t.Context(), waiting))
 		time.Sleep(time.Second)
-		b.lessor.lapse()
+		b.leases.lapse()
 		b.owner.LeaseLost("group/" + testGroup)
 		events := collect(t, b.owner, waiting.ID)
 		require.Equal(t, result.NotRun, events[0].Failure.Outcome)
@@ -184,7 +184,7 @@
 		first := streamRequest("a", "math")
 		require.NoError(t, b.owner.Submit(t.Context(), first))
 		collect(t, b.owner, first.ID)
-		b.lessor.lapse()
+		b.leases.lapse()
 		second := streamRequest("b", "math")
 		require.NoError(t, b.owner.Submit(t.Context(), second))
 		events := collect(t, b.owner, second.ID)
@@ -252,7 +252,7 @@
 		b.table.mu.Lock()
 		b.table.rows["eviction/assistant/e1/math:v1"] = value
 		b.table.mu.Unlock()
-		grant := b.lessor.grant
+		grant := b.leases.grant
 		grant.PreviousProvenGone = false
 		b.owner.LeaseGained(grant)
 		time.Sleep(time.Second)
--- a/pkg/owner/rpc.go
+++ b/pkg/owner/rpc.go
@@ -159,15 +159,15 @@
 
 // remote is a client of the work.Owner in one incarnation of another VM.
 type remote struct {
-	caller  peer.Client
-	address string
-	target  Target
+	peerClient peer.Client
+	address    string
+	target     Target
 }
 
 func (r *remote) call(ctx context.Context, timeout time.Duration, method string, args, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return r.caller.Call(ctx, r.address, ServiceName+"."+method, args, reply)
+	return r.peerClient.Call(ctx, r.address, ServiceName+"."+method, args, reply)
 }
 
 // Submit implements work.Owner.
--- a/pkg/owner/runner.go
+++ b/pkg/owner/runner.go
@@ -120,7 +120,7 @@
 // holdsLease reports whether this VM still holds the lease under which the runner started, and so may send
 // work and orders to the group.
 func (r *runner) holdsLease() bool {
-	grant, ok := r.owner.cfg.Lessor.Held(r.grant.Name)
+	grant, ok := r.owner.cfg.Leases.Held(r.grant.Name)
 	return ok && grant.Fencing == r.grant.Fencing
 }
 
--- a/pkg/quota/home.go
+++ b/pkg/quota/home.go
@@ -52,7 +52,7 @@
 	self         string
 	leases       lease.View
 	members      MemberLister
-	caller       peer.Client
+	peerClient   peer.Client
 	limits       LimitFunc
 	log          logrus.FieldLogger
 	localLimiter *Limiter
@@ -78,9 +78,9 @@
 
 // NewHome returns a Home without buckets. The caller must pass lease events to its LeaseGained and LeaseLost,
 // and create the limiter of the same VM, which registers itself. Calls to other VMs stop when ctx is done.
-func NewHome(ctx context.Context, self string, leases lease.View, members MemberLister, caller peer.Client, limits LimitFunc, log logrus.FieldLogger) *Home {
+func NewHome(ctx context.Context, self string, leases lease.View, members MemberLister, peerClient peer.Client, limits LimitFunc, log logrus.FieldLogger) *Home {
 	return &Home{
-		ctx: ctx, self: self, leases: leases, members: members, caller: caller, limits: limits, log: log,
+		ctx: ctx, self: self, leases: leases, members: members, peerClient: peerClient, limits: limits, log: log,
 		buckets: map[string]*homeBucket{}, releasedLevels: map[string]float64{},
 	}
 }
@@ -135,7 +135,7 @@
 	for time.Since(start) < grantLifetime+clockDriftMargin {
 		ctx, cancel := context.WithTimeout(h.ctx, callTimeout)
 		var reply HeldReply
-		err := h.caller.Call(ctx, m.PeerAddress, heldMethod, &request, &reply)
+		err := h.peerClient.Call(ctx, m.PeerAddress, heldMethod, &request, &reply)
 		cancel()
 		if err == nil {
 			h.recordHeld(request, m.ID, reply, time.Now())
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -38,10 +38,10 @@
 	// incarnation distinguishes this process from earlier ones on the same VM.
 	incarnation string
 
-	home   *Home
-	leases lease.View
-	caller peer.Client
-	limits LimitFunc
+	home       *Home
+	leases     lease.View
+	peerClient peer.Client
+	limits     LimitFunc
 
 	mu       sync.Mutex
 	accounts map[string]*account // guarded by mu
@@ -49,9 +49,9 @@
 
 // NewLimiter returns a limiter without tokens and registers it with home, the Home of the same VM. Calls and
 // background work stop when ctx is done.
-func NewLimiter(ctx context.Context, self, incarnation string, home *Home, leases lease.View, caller peer.Client, limits LimitFunc) *Limiter {
+func NewLimiter(ctx context.Context, self, incarnation string, home *Home, leases lease.View, peerClient peer.Client, limits LimitFunc) *Limiter {
 	h := &Limiter{
-		ctx: ctx, self: self, incarnation: incarnation, home: home, leases: leases, caller: caller, limits: limits,
+		ctx: ctx, self: self, incarnation: incarnation, home: home, leases: leases, peerClient: peerClient, limits: limits,
 		accounts: map[string]*account{},
 	}
 	home.localLimiter = h
@@ -194,6 +194,6 @@
 	ctx, cancel := context.WithTimeout(h.ctx, callTimeout)
 	defer cancel()
 	var reply GrantReply
-	err := h.caller.Call(ctx, holder.Address, grantMethod, &req, &reply)
+	err := h.peerClient.Call(ctx, holder.Address, grantMethod, &req, &reply)
 	return reply, err
 }
--- a/pkg/relay/node.go
+++ b/pkg/relay/node.go
@@ -69,8 +69,8 @@
 	Self      VM
 	UpdateLog *UpdateLog
 	// Reader reads the store for this VM and for those that poll it.
-	Reader Reader
-	Caller peer.Client
+	Reader     Reader
+	PeerClient peer.Client
 	// Stewards returns the stewards that this VM knows, in the order in which to poll them. This VM may be among
 	// them.
 	Stewards func() []VM
@@ -248,7 +248,7 @@
 	defer cancel()
 	sent := clock.Now()
 	var reply PullReply
-	if err := n.cfg.Caller.Call(ctx, source.Address, pullMethod, &args, &reply); err != nil {
+	if err := n.cfg.PeerClient.Call(ctx, source.Address, pullMethod, &args, &reply); err != nil {
 		n.cfg.Log.WithError(err).WithFields(logrus.Fields{"event": "news_lost", "source": source.ID}).Debug("could not pull updates from the source")
 		return false
 	}
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -94,7 +94,7 @@
 	return age, age
 }
 
-// Call implements peer.Caller.
+// Call implements peer.Client.
 func (m *testVM) Call(ctx context.Context, address, _ string, args, reply any) error {
 	m.bed.mu.Lock()
 	target, down := m.bed.vms[address], m.bed.down[address] || m.bed.down[m.vm.ID]
@@ -191,7 +191,7 @@
 		var loops sync.WaitGroup
 		for _, m := range vms {
 			m.node = New(ctx, Config{
-				Self: m.vm, UpdateLog: m.updates, Reader: m, Caller: m, Log: log, Apply: m.apply,
+				Self: m.vm, UpdateLog: m.updates, Reader: m, PeerClient: m, Log: log, Apply: m.apply,
 				Stewards: func() []VM {
 					m.mu.Lock()
 					defer m.mu.Unlock()
--- a/pkg/suspect/crash_times.go
+++ b/pkg/suspect/crash_times.go
@@ -53,7 +53,7 @@
 		return s.recordCrashTime(crash, seen)
 	}
 	var reply EndReply
-	if err := s.caller.Call(ctx, m.PeerAddress, ServiceName+".End", &EndArgs{Crash: crash, Age: time.Since(seen)}, &reply); err != nil {
+	if err := s.peerClient.Call(ctx, m.PeerAddress, ServiceName+".End", &EndArgs{Crash: crash, Age: time.Since(seen)}, &reply); err != nil {
 		s.log.WithError(err).WithFields(logrus.Fields{"event": "end_not_told", "to": m.ID, "crash": crash}).Info("could not report endpoint crash to peer")
 		return seen
 	}
--- a/pkg/suspect/guard.go
+++ b/pkg/suspect/guard.go
@@ -102,14 +102,14 @@
 
 // PeerAnnouncer is an Announcer that calls all other VMs, in the background.
 type PeerAnnouncer struct {
-	caller peer.Client
-	view   membership.View
-	queue  chan CrashReport
+	peerClient peer.Client
+	view       membership.View
+	queue      chan CrashReport
 }
 
 // NewPeerAnnouncer returns a PeerAnnouncer, which announces nothing until Run is called.
-func NewPeerAnnouncer(caller peer.Client, view membership.View) *PeerAnnouncer {
-	return &PeerAnnouncer{caller: caller, view: view, queue: make(chan CrashReport, announceQueueLen)}
+func NewPeerAnnouncer(peerClient peer.Client, view membership.View) *PeerAnnouncer {
+	return &PeerAnnouncer{peerClient: peerClient, view: view, queue: make(chan CrashReport, announceQueueLen)}
 }
 
 // Announce queues a report and does not block. If the queue is full, the report is dropped.
@@ -156,7 +156,7 @@
 		wg.Go(func() {
 			defer func() { <-slots }()
 			// A failed call is not repeated: the peer learns of the suspect from the owner's refusals.
-			_ = a.caller.Call(ctx, member.PeerAddress, ServiceName+".Crashed", &ReportArgs{Notices: reports}, &ReportReply{})
+			_ = a.peerClient.Call(ctx, member.PeerAddress, ServiceName+".Crashed", &ReportArgs{Notices: reports}, &ReportReply{})
 		})
 	}
 	wg.Wait()
@@ -172,7 +172,7 @@
 			continue
 		}
 		var reply ListReply
-		lastErr = a.caller.Call(ctx, member.PeerAddress, ServiceName+".List", &ListArgs{}, &reply)
+		lastErr = a.peerClient.Call(ctx, member.PeerAddress, ServiceName+".List", &ListArgs{}, &reply)
 		if lastErr == nil {
 			applyReports(table, reply.Notices)
 			return nil
--- a/pkg/suspect/guard_test.go
+++ b/pkg/suspect/guard_test.go
@@ -21,7 +21,7 @@
 	os.Exit(m.Run())
 }
 
-// serviceCaller is a peer.Caller that calls the services of other VMs in this process, by address.
+// serviceCaller is a peer.Client that calls the services of other VMs in this process, by address.
 type serviceCaller map[string]*Service
 
 func (c serviceCaller) Call(_ context.Context, address, method string, args, reply any) error {
--- a/pkg/suspect/syncer.go
+++ b/pkg/suspect/syncer.go
@@ -41,13 +41,13 @@
 // was sent is remembered for each incarnation of a VM. What could not be sent is sent later: to VMs that were unreachable,
 // have just started, or were paused. All methods are safe for concurrent use.
 type Syncer struct {
-	self     string
-	table    *Table
-	detector *Detector
-	caller   peer.Client
-	members  func() []membership.Member
-	log      logrus.FieldLogger
-	wake     chan struct{}
+	self       string
+	table      *Table
+	detector   *Detector
+	peerClient peer.Client
+	members    func() []membership.Member
+	log        logrus.FieldLogger
+	wake       chan struct{}
 
 	mu sync.Mutex
 	// sent holds, for each VM incarnation, the state of each request as last reported to it; guarded by mu.
@@ -71,9 +71,9 @@
 }
 
 // NewSyncer returns the syncer of the VM with the ID self. members returns all known VMs.
-func NewSyncer(self string, table *Table, caller peer.Client, members func() []membership.Member, log logrus.FieldLogger) *Syncer {
+func NewSyncer(self string, table *Table, peerClient peer.Client, members func() []membership.Member, log logrus.FieldLogger) *Syncer {
 	return &Syncer{
-		self: self, table: table, caller: caller, members: members, log: log, wake: make(chan struct{}, 1),
+		self: self, table: table, peerClient: peerClient, members: members, log: log, wake: make(chan struct{}, 1),
 		sent: map[peerIncarnation]map[uint64]summary{}, lastFailure: map[peerIncarnation]time.Time{}, inFlight: map[peerIncarnation]bool{}, crashTimes: map[string]time.Time{},
 		callSlots: make(chan struct{}, maxParallelCalls),
 	}
@@ -236,7 +236,7 @@
 	defer cancel()
 	id := peerIncarnation{m.ID, m.Incarnation}
 	var reply ListReply
-	err := s.caller.Call(ctx, m.PeerAddress, ServiceName+".Tell", &ReportArgs{From: s.self, Notices: batch}, &reply)
+	err := s.peerClient.Call(ctx, m.PeerAddress, ServiceName+".Tell", &ReportArgs{From: s.self, Notices: batch}, &reply)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.inFlight, id)
--- a/pkg/suspect/syncer_test.go
+++ b/pkg/suspect/syncer_test.go
@@ -49,7 +49,7 @@
 	writes     int
 }
 
-// testVM is one VM of a testFleet. It implements peer.Caller and rowTable.
+// testVM is one VM of a testFleet. It implements peer.Client and rowTable.
 type testVM struct {
 	id, incarnation string
 	fleet           *testFleet
@@ -104,7 +104,7 @@
 	return list
 }
 
-// Call implements peer.Caller.
+// Call implements peer.Client.
 func (vm *testVM) Call(ctx context.Context, address, method string, args, reply any) error {
 	f := vm.fleet
 	f.mu.Lock()
