--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -25,7 +25,7 @@
 	// grantSentAt is when the VM sent the last grant request whose reply it accepted. The lifetime of the
 	// balance is counted from then.
 	grantSentAt time.Time
-	// fencing is the lowest fencing token of a home whose grants are accepted.
+	// fencing is the lowest fencing number of a home whose grants are accepted.
 	fencing uint64
 	// seq is the sequence number of the last request sent, accepted that of the last reply accepted.
 	seq, accepted uint64
@@ -135,7 +135,7 @@
 	a.waiters = slices.Delete(a.waiters, i, i+1)
 }
 
-// fence records the fencing token of a new home, so that grants of earlier homes are refused from then on,
+// fence records the fencing number of a new home, so that grants of earlier homes are refused from then on,
 // and returns the balance.
 func (a *account) fence(fencing uint64, now time.Time) int64 {
 	a.mu.Lock()
--- a/pkg/quota/home.go
+++ b/pkg/quota/home.go
@@ -67,7 +67,7 @@
 // homeBucket is the token bucket of one client account.
 type homeBucket struct {
 	*tokenbucket.Bucket
-	// fencing is the fencing token of the lease under which the bucket was started.
+	// fencing is the fencing number of the lease under which the bucket was started.
 	fencing uint64
 }
 
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -56,7 +56,7 @@
 	// Accepted is the Seq of the last reply that the VM has accepted. It accepts no reply to an older
 	// request any more.
 	Accepted uint64
-	// Fencing is the fencing token of the home whose stamps the refunds carry.
+	// Fencing is the fencing number of the home whose stamps the refunds carry.
 	Fencing uint64
 	// Refunds are tokens that admitted requests did not use.
 	Refunds []Refund
@@ -73,7 +73,7 @@
 type GrantReply struct {
 	// Seq is that of the request.
 	Seq uint64
-	// Fencing is the fencing token of the home's lease.
+	// Fencing is the fencing number of the home's lease.
 	Fencing uint64
 	// Tokens is the number of tokens granted.
 	Tokens int64
@@ -95,7 +95,7 @@
 // HeldRequest notifies a VM that an account has a new home, and asks for the VM's balance.
 type HeldRequest struct {
 	Account string
-	// Fencing is the fencing token of the new home. The VM refuses grants with lower ones from now on.
+	// Fencing is the fencing number of the new home. The VM refuses grants with lower ones from now on.
 	Fencing uint64
 }
 
